--- a/bench/Replay.c
+++ b/bench/Replay.c
@@ -426,10 +426,10 @@
     return kind_of(this, request)->deadline_ms - passed_ms;
 }
 
-static LoadShedPlan_t
+static LoadShedDecision_t
 plan_of(const Replay_t *this, const Request_t *request, const Choice_t *choice)
 {
-    LoadShedFacts_t facts = {
+    LoadShedInput_t facts = {
         .expected_us = choice->cost_us,
         .own_us = choice->own_us,
         .spread_us = Forecast_spreadUs(this->forecast, TARGET),
@@ -454,7 +454,7 @@
         end_request(request, &count_of(this, request)->failed);
         return;
     }
-    LoadShedPlan_t plan = plan_of(this, request, &choice);
+    LoadShedDecision_t plan = plan_of(this, request, &choice);
     if (plan.admitted || request->attempts > 0) {
         send_to(this, which, &placement, &choice);
     }
@@ -513,8 +513,8 @@
 {
     const Request_t *request = request_at(this, which);
     gint64 waited_us = request->first_us - request->sent_us;
-    Tickets_begin(this->tickets, request->ticket, this->policy, waited_us,
-                  Clock_nowMs());
+    Tickets_noteFirstToken(this->tickets, request->ticket, this->policy,
+                           waited_us, Clock_nowMs());
     Forecast_noteFirst(this->forecast, TARGET, request->expected_us,
                        waited_us);
 }
--- a/src/CacheStore.c
+++ b/src/CacheStore.c
@@ -115,7 +115,7 @@
 {
     Hint_t hint = {.kind = HINT_SAVED, .subject = prefix};
     entry_of(this, prefix)->kept_ms = now_ms;
-    HintFlood_tell(this->hints, &hint);
+    HintFlood_broadcast(this->hints, &hint);
 }
 
 gboolean
--- a/src/Dispatch.c
+++ b/src/Dispatch.c
@@ -6,11 +6,12 @@
 #include "Clock.h"
 #include "Tickets.h"
 
-/* A dispatcher that did not answer is not asked again for so long; its own
- * restart takes less. */
-#define SILENCE_MS 500
-/* Name of a group: its target's, cut to so many characters, a slash, the
- * digits of a number and the end. All routers must cut it alike. */
+/* How long a dispatcher that did not answer is not queried again; a router
+ * restarts in less. */
+#define UNANSWERED_BACKOFF_MS 500
+/* The name of a group is its target's name, cut to GROUP_TARGET_MAX
+ * characters, a slash and the group's number. All routers must cut the target
+ * to the same length, as the dispatcher is ranked by this name. */
 #define GROUP_TARGET_MAX 40
 #define GROUP_NAME_SIZE (GROUP_TARGET_MAX + 12)
 
@@ -18,45 +19,45 @@
     struct event_base *base;
     DispatchSpec_t spec;
     Tickets_t *tickets;
-    GHashTable *asks; /* &ticket id -> DispatchAsk_t */
+    GHashTable *queries; /* &ticket.id -> DispatchQuery_t */
     guint64 next_id;
 };
 
-struct DispatchAsk {
+struct DispatchQuery {
     Dispatch_t *dispatch;
     DispatchTicket_t ticket;
-    GString *dispatcher; /* its name, as it may be forgotten meanwhile */
+    GString *dispatcher_name; /* copied, as the member may be removed */
     DispatchDone_t done;
-    void *owner; /* for @done */
+    void *owner; /* argument of @done */
     struct event *timeout;
 };
 
 static void
-free_ask(gpointer data)
+free_query(gpointer data)
 {
-    DispatchAsk_t *ask = data;
-    event_free(ask->timeout);
-    g_string_free(ask->dispatcher, TRUE);
-    g_free(ask);
+    DispatchQuery_t *query = data;
+    event_free(query->timeout);
+    g_string_free(query->dispatcher_name, TRUE);
+    g_free(query);
 }
 
 static guint32
-to_32_bits(gint64 us)
+clamp_to_32_bits(gint64 us)
 {
     return (guint32)CLAMP(us, 0, G_MAXINT32);
 }
 
 static void
-send_news(const Dispatch_t *this, const DispatchTicket_t *ticket,
-          Wt__PlaceState state, gint64 waited_us)
+send_update(const Dispatch_t *this, const DispatchTicket_t *ticket,
+            Wt__PlaceState state, gint64 waited_us)
 {
-    Wt__PlaceNews news = WT__PLACE_NEWS__INIT;
+    Wt__PlaceNews update = WT__PLACE_NEWS__INIT;
     Wt__PeerMessage message = WT__PEER_MESSAGE__INIT;
-    news.ticket = ticket->id;
-    news.state = state;
-    news.waited_us = to_32_bits(waited_us);
+    update.ticket = ticket->id;
+    update.state = state;
+    update.waited_us = clamp_to_32_bits(waited_us);
     message.body_case = WT__PEER_MESSAGE__BODY_PLACE_NEWS;
-    message.place_news = &news;
+    message.place_news = &update;
     PeerDatagrams_send(this->spec.datagrams, &ticket->dispatcher, &message);
 }
 
@@ -76,73 +77,73 @@
     answer.upstream = hash_or_zero(choice->upstream);
     answer.fetch_from = hash_or_zero(choice->supply.source);
     answer.supply = choice->supply.kind;
-    answer.move_us = to_32_bits(choice->supply.move_us);
-    answer.move_wait_us = to_32_bits(choice->supply.wait_us);
+    answer.move_us = clamp_to_32_bits(choice->supply.move_us);
+    answer.move_wait_us = clamp_to_32_bits(choice->supply.wait_us);
     answer.cached_tokens = choice->expected_cached;
-    answer.cost_us = to_32_bits(choice->cost_us);
-    answer.own_us = to_32_bits(choice->own_us);
+    answer.cost_us = clamp_to_32_bits(choice->cost_us);
+    answer.own_us = clamp_to_32_bits(choice->own_us);
     message.body_case = WT__PEER_MESSAGE__BODY_PLACE_ANSWER;
     message.place_answer = &answer;
     PeerDatagrams_send(this->spec.datagrams, to, &message);
 }
 
-/* The asker tells of the shared part of the prompt alone; the request's own
- * part is the last level and has no identity here. Upstreams that rest from
- * this router have not asked the asker to leave them alone. */
+/* The requester sends the identity of the shared part of the prompt only; the
+ * last level, the request's own part, gets the identity 0. Backoffs are
+ * ignored, as an upstream asked this router for them, not the requester. */
 static Placement_t
-placement_of(const Dispatch_t *this, const Wt__PlaceAsk *ask)
+make_placement(const Dispatch_t *this, const Wt__PlaceAsk *query)
 {
     const GPtrArray *serving =
-        UpstreamSet_serving(this->spec.upstreams, ROLE_SERVICE, ask->target);
+        UpstreamSet_serving(this->spec.upstreams, ROLE_SERVICE, query->target);
     Placement_t placement = {
-        .target = ask->target,
+        .target = query->target,
         .serving = serving,
         .generation = UpstreamSet_generation(this->spec.upstreams),
         .level_count = 2,
-        .levels = {ask->prefix, 0},
-        .level_tokens = {ask->prefix_tokens, ask->prompt_tokens},
-        .prompt_tokens = MAX(ask->prompt_tokens, ask->prefix_tokens),
-        .groups = Dispatch_groups(this, serving->len),
-        .avoid = UpstreamSet_findHash(this->spec.upstreams, ask->avoid),
-        .run_us = ask->run_us,
-        .latest_us = ask->latest_us,
+        .levels = {query->prefix, 0},
+        .level_tokens = {query->prefix_tokens, query->prompt_tokens},
+        .prompt_tokens = MAX(query->prompt_tokens, query->prefix_tokens),
+        .groups = Dispatch_countGroups(this, serving->len),
+        .avoid = UpstreamSet_findHash(this->spec.upstreams, query->avoid),
+        .run_us = query->run_us,
+        .latest_us = query->latest_us,
         .ignores_rests = TRUE,
         .now_ms = Clock_nowMs(),
     };
     return placement;
 }
 
-/* A question that comes twice is answered once: the engine that was chosen is
- * busier now, so that a second answer would name another one. */
+/* A duplicate query is not answered: the first one made the chosen engine
+ * busier, so a second answer might name another engine. */
 static void
-take_ask(Dispatch_t *this, const Wt__PlaceAsk *ask,
-         const struct sockaddr_in *from)
+receive_query(Dispatch_t *this, const Wt__PlaceAsk *query,
+              const struct sockaddr_in *from)
 {
-    if (Tickets_isKnown(this->tickets, ask->ticket)) {
+    if (Tickets_isOpen(this->tickets, query->ticket)) {
         return;
     }
-    Placement_t placement = placement_of(this, ask);
-    this->spec.prefer(this->spec.owner, *ask->model ? ask->model : NULL,
+    Placement_t placement = make_placement(this, query);
+    this->spec.prefer(this->spec.owner, *query->model ? query->model : NULL,
                       &placement);
     Choice_t choice = Policy_choose(this->spec.policy, &placement);
     if (choice.upstream) {
-        Tickets_add(this->tickets, ask->ticket, &placement, &choice);
+        Tickets_add(this->tickets, query->ticket, &placement, &choice);
         Policy_begin(this->spec.policy, &placement, &choice);
     }
     Counters_add(this->spec.counters, "places_answered_total", NULL, 1);
-    send_answer(this, ask->ticket, &choice, from);
+    send_answer(this, query->ticket, &choice, from);
 }
 
-/* A router of another build may know more kinds. */
+/* A router of another build may send kinds that this one does not know. */
 static SupplyKind_t
-supply_of(const Wt__PlaceAnswer *answer)
+get_supply_kind(const Wt__PlaceAnswer *answer)
 {
     return answer->supply <= SUPPLY_COMPUTED ? (SupplyKind_t)answer->supply
                                              : SUPPLY_UNKNOWN;
 }
 
 static Choice_t
-choice_of(const Dispatch_t *this, const Wt__PlaceAnswer *answer)
+make_choice(const Dispatch_t *this, const Wt__PlaceAnswer *answer)
 {
     const UpstreamSet_t *upstreams = this->spec.upstreams;
     return (Choice_t){
@@ -153,7 +154,7 @@
         .own_us = answer->own_us,
         .supply =
             {
-                .kind = supply_of(answer),
+                .kind = get_supply_kind(answer),
                 .tokens = answer->cached_tokens,
                 .move_us = answer->move_us,
                 .wait_us = answer->move_wait_us,
@@ -162,46 +163,47 @@
     };
 }
 
-/* The question is gone before its asker hears, who may ask again. */
+/* The query is removed before the callback runs, which may start another. */
 static void
-finish_ask(DispatchAsk_t *ask, const Choice_t *choice,
-           const DispatchTicket_t *ticket)
+finish_query(DispatchQuery_t *query, const Choice_t *choice,
+             const DispatchTicket_t *ticket)
 {
-    DispatchDone_t done = ask->done;
-    void *owner = ask->owner;
-    g_hash_table_remove(ask->dispatch->asks, &ask->ticket.id);
+    DispatchDone_t done = query->done;
+    void *owner = query->owner;
+    g_hash_table_remove(query->dispatch->queries, &query->ticket.id);
     done(owner, choice, ticket);
 }
 
-/* The asker may be gone, or may have chosen for itself by now. */
+/* An answer to a query that was cancelled or has timed out ends its ticket. */
 static void
-take_answer(Dispatch_t *this, const Wt__PlaceAnswer *answer,
-            const struct sockaddr_in *from)
+receive_answer(Dispatch_t *this, const Wt__PlaceAnswer *answer,
+               const struct sockaddr_in *from)
 {
-    DispatchAsk_t *ask = g_hash_table_lookup(this->asks, &answer->ticket);
+    DispatchQuery_t *query =
+        g_hash_table_lookup(this->queries, &answer->ticket);
     DispatchTicket_t ticket = {answer->ticket, *from};
-    if (!ask) {
-        send_news(this, &ticket, WT__PLACE_STATE__ENDED, 0);
+    if (!query) {
+        send_update(this, &ticket, WT__PLACE_STATE__ENDED, 0);
         return;
     }
-    Choice_t choice = choice_of(this, answer);
-    finish_ask(ask, &choice, &ticket);
+    Choice_t choice = make_choice(this, answer);
+    finish_query(query, &choice, &ticket);
 }
 
 static void
-take_news(const Dispatch_t *this, const Wt__PlaceNews *news)
+receive_update(const Dispatch_t *this, const Wt__PlaceNews *update)
 {
     gint64 now_ms = Clock_nowMs();
-    switch (news->state) {
+    switch (update->state) {
     case WT__PLACE_STATE__BEGUN:
-        Tickets_begin(this->tickets, news->ticket, this->spec.policy,
-                      news->waited_us, now_ms);
+        Tickets_noteFirstToken(this->tickets, update->ticket,
+                               this->spec.policy, update->waited_us, now_ms);
         break;
     case WT__PLACE_STATE__REFUSED:
-        Tickets_refused(this->tickets, news->ticket, now_ms);
+        Tickets_noteRefusal(this->tickets, update->ticket, now_ms);
         break;
     default:
-        Tickets_end(this->tickets, news->ticket);
+        Tickets_end(this->tickets, update->ticket);
     }
 }
 
@@ -212,44 +214,47 @@
     Dispatch_t *this = owner;
     switch (message->body_case) {
     case WT__PEER_MESSAGE__BODY_PLACE_ASK:
-        take_ask(this, message->place_ask, from);
+        receive_query(this, message->place_ask, from);
         break;
     case WT__PEER_MESSAGE__BODY_PLACE_ANSWER:
-        take_answer(this, message->place_answer, from);
+        receive_answer(this, message->place_answer, from);
         break;
     case WT__PEER_MESSAGE__BODY_PLACE_NEWS:
-        take_news(this, message->place_news);
+        receive_update(this, message->place_news);
         break;
     default:
         break;
     }
 }
 
-/* Nobody knows whether the question arrived, so that the ticket is ended. */
+/* The dispatcher may have received the query and opened a ticket for it, so
+ * the ticket is ended. */
 static void
 on_timeout(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
-    DispatchAsk_t *ask = data;
-    Dispatch_t *this = ask->dispatch;
-    DispatchTicket_t none = {0};
-    Choice_t nothing = {.reason = "unanswered"};
-    Membership_noteUnanswered(this->spec.membership, ask->dispatcher->str,
-                              Clock_nowMs() + SILENCE_MS);
+    DispatchQuery_t *query = data;
+    Dispatch_t *this = query->dispatch;
+    DispatchTicket_t no_ticket = {0};
+    Choice_t no_choice = {.reason = "unanswered"};
+    Membership_noteUnanswered(this->spec.membership,
+                              query->dispatcher_name->str,
+                              Clock_nowMs() + UNANSWERED_BACKOFF_MS);
     Counters_add(this->spec.counters, "places_unanswered_total", NULL, 1);
-    send_news(this, &ask->ticket, WT__PLACE_STATE__ENDED, 0);
-    finish_ask(ask, &nothing, &none);
+    send_update(this, &query->ticket, WT__PLACE_STATE__ENDED, 0);
+    finish_query(query, &no_choice, &no_ticket);
 }
 
-/* Tickets of all routers lie in one table of their dispatcher, so that each
- * process counts on from a number of its own. */
+/* A dispatcher keeps the tickets of all routers in one table. Ids start at a
+ * hash of the router's address and start time, which makes it unlikely that
+ * two processes use the same ids. */
 static guint64
-first_id(const Address_t *listen)
+make_first_ticket_id(const Address_t *listen)
 {
-    g_autofree char *process = g_strdup_printf(
+    g_autofree char *process_name = g_strdup_printf(
         "%s:%u %" G_GINT64_FORMAT, listen->host, listen->port, Clock_wallMs());
-    return XXH3_64bits(process, strlen(process));
+    return XXH3_64bits(process_name, strlen(process_name));
 }
 
 Dispatch_t *
@@ -259,9 +264,9 @@
     this->base = base;
     this->spec = *spec;
     this->tickets = Tickets_create(base);
-    this->asks =
-        g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_ask);
-    this->next_id = first_id(Membership_address(spec->membership));
+    this->queries =
+        g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_query);
+    this->next_id = make_first_ticket_id(Membership_address(spec->membership));
     PeerDatagrams_listen(spec->datagrams, on_message, this);
     return this;
 }
@@ -270,13 +275,14 @@
 Dispatch_destroy(Dispatch_t *this)
 {
     Tickets_destroy(this->tickets);
-    g_hash_table_destroy(this->asks);
+    g_hash_table_destroy(this->queries);
     g_free(this);
 }
 
-/* A power of two, so that an engine that comes or goes seldom changes it. */
+/* The number of groups is a power of two, so that it seldom changes when an
+ * engine is added or removed. */
 guint
-Dispatch_groups(const Dispatch_t *this, guint engines)
+Dispatch_countGroups(const Dispatch_t *this, guint engines)
 {
     guint groups = 1;
     if (Membership_isMesh(this->spec.membership)) {
@@ -289,24 +295,24 @@
 }
 
 static void
-send_ask(Dispatch_t *this, const DispatchAsk_t *ask,
-         const Placement_t *placement, const char *model)
+send_query(Dispatch_t *this, const DispatchQuery_t *query,
+           const Placement_t *placement, const char *model)
 {
-    Wt__PlaceAsk question = WT__PLACE_ASK__INIT;
+    Wt__PlaceAsk body = WT__PLACE_ASK__INIT;
     Wt__PeerMessage message = WT__PEER_MESSAGE__INIT;
-    guint shared = Placement_sharedLevel(placement);
-    question.ticket = ask->ticket.id;
-    question.target = (char *)placement->target;
-    question.model = (char *)(model ? model : "");
-    question.prefix = placement->levels[shared];
-    question.prefix_tokens = placement->level_tokens[shared];
-    question.prompt_tokens = placement->prompt_tokens;
-    question.avoid = hash_or_zero(placement->avoid);
-    question.run_us = to_32_bits(placement->run_us);
-    question.latest_us = to_32_bits(placement->latest_us);
+    guint shared_level = Placement_sharedLevel(placement);
+    body.ticket = query->ticket.id;
+    body.target = (char *)placement->target;
+    body.model = (char *)(model ? model : "");
+    body.prefix = placement->levels[shared_level];
+    body.prefix_tokens = placement->level_tokens[shared_level];
+    body.prompt_tokens = placement->prompt_tokens;
+    body.avoid = hash_or_zero(placement->avoid);
+    body.run_us = clamp_to_32_bits(placement->run_us);
+    body.latest_us = clamp_to_32_bits(placement->latest_us);
     message.body_case = WT__PEER_MESSAGE__BODY_PLACE_ASK;
-    message.place_ask = &question;
-    PeerDatagrams_send(this->spec.datagrams, &ask->ticket.dispatcher,
+    message.place_ask = &body;
+    PeerDatagrams_send(this->spec.datagrams, &query->ticket.dispatcher,
                        &message);
 }
 
@@ -320,23 +326,24 @@
     return Membership_answering(this->spec.membership, group, Clock_nowMs());
 }
 
-static DispatchAsk_t *
-create_ask(Dispatch_t *this, const Member_t *dispatcher)
+static DispatchQuery_t *
+create_query(Dispatch_t *this, const Member_t *dispatcher)
 {
-    DispatchAsk_t *ask = g_new0(DispatchAsk_t, 1);
-    ask->dispatch = this;
-    ask->ticket.id = ++this->next_id;
-    ask->ticket.dispatcher = PeerDatagrams_address(&dispatcher->address);
-    ask->dispatcher = g_string_new(dispatcher->name->str);
-    ask->timeout = Clock_timer(this->base, on_timeout, ask);
-    Clock_arm(ask->timeout, DISPATCH_WAIT_MS);
-    g_hash_table_insert(this->asks, &ask->ticket.id, ask);
-    return ask;
+    DispatchQuery_t *query = g_new0(DispatchQuery_t, 1);
+    query->dispatch = this;
+    query->ticket.id = ++this->next_id;
+    query->ticket.dispatcher = PeerDatagrams_address(&dispatcher->address);
+    query->dispatcher_name = g_string_new(dispatcher->name->str);
+    query->timeout = Clock_timer(this->base, on_timeout, query);
+    Clock_arm(query->timeout, DISPATCH_TIMEOUT_MS);
+    g_hash_table_insert(this->queries, &query->ticket.id, query);
+    return query;
 }
 
-DispatchAsk_t *
-Dispatch_ask(Dispatch_t *this, const Placement_t *placement, const char *model,
-             const Choice_t *choice, DispatchDone_t done, void *owner)
+DispatchQuery_t *
+Dispatch_query(Dispatch_t *this, const Placement_t *placement,
+               const char *model, const Choice_t *choice, DispatchDone_t done,
+               void *owner)
 {
     Member_t *dispatcher = placement->groups > 1 && placement->level_count > 0
                                ? find_dispatcher(this, placement, choice)
@@ -344,27 +351,27 @@
     if (!dispatcher) {
         return NULL;
     }
-    DispatchAsk_t *ask = create_ask(this, dispatcher);
-    ask->done = done;
-    ask->owner = owner;
-    send_ask(this, ask, placement, model);
-    return ask;
+    DispatchQuery_t *query = create_query(this, dispatcher);
+    query->done = done;
+    query->owner = owner;
+    send_query(this, query, placement, model);
+    return query;
 }
 
 void
-Dispatch_cancel(DispatchAsk_t *ask)
+Dispatch_cancelQuery(DispatchQuery_t *query)
 {
-    Dispatch_t *this = ask->dispatch;
-    send_news(this, &ask->ticket, WT__PLACE_STATE__ENDED, 0);
-    g_hash_table_remove(this->asks, &ask->ticket.id);
+    Dispatch_t *this = query->dispatch;
+    send_update(this, &query->ticket, WT__PLACE_STATE__ENDED, 0);
+    g_hash_table_remove(this->queries, &query->ticket.id);
 }
 
 void
-Dispatch_begin(const Dispatch_t *this, const DispatchTicket_t *ticket,
-               gint64 waited_us)
+Dispatch_reportFirstToken(const Dispatch_t *this,
+                          const DispatchTicket_t *ticket, gint64 waited_us)
 {
     if (ticket->id != 0) {
-        send_news(this, ticket, WT__PLACE_STATE__BEGUN, waited_us);
+        send_update(this, ticket, WT__PLACE_STATE__BEGUN, waited_us);
     }
 }
 
@@ -373,19 +380,19 @@
            Wt__PlaceState state)
 {
     if (ticket->id != 0) {
-        send_news(this, ticket, state, 0);
+        send_update(this, ticket, state, 0);
         ticket->id = 0;
     }
 }
 
 void
-Dispatch_refused(const Dispatch_t *this, DispatchTicket_t *ticket)
+Dispatch_reportRefusal(const Dispatch_t *this, DispatchTicket_t *ticket)
 {
     end_ticket(this, ticket, WT__PLACE_STATE__REFUSED);
 }
 
 void
-Dispatch_end(const Dispatch_t *this, DispatchTicket_t *ticket)
+Dispatch_endTicket(const Dispatch_t *this, DispatchTicket_t *ticket)
 {
     end_ticket(this, ticket, WT__PLACE_STATE__ENDED);
 }
--- a/src/Dispatch.h
+++ b/src/Dispatch.h
@@ -3,31 +3,33 @@
 /**
  * DOC: Dispatch
  *
- * Where routers are too many to tell each other all of their load, each of
- * them knows next to nothing of an engine's queue. The engines are divided
- * into groups, and for each group one router, first in rank, places the
- * requests of all: it knows what it has placed and what has not ended
- * (Tickets.h). The others ask it by a datagram. Where it does not answer at
- * once, a router chooses for itself, and asks the next in rank for a while.
- * Two routers that take themselves for the first cost some balance, no more.
+ * Places requests on engines when there are too many routers for each to
+ * broadcast its load to all others, so that no router knows the length of an
+ * engine's queue. The engines are divided into groups. The router that
+ * rendezvous hashing ranks first for a group is the group's dispatcher: it
+ * chooses the engine for the requests of all routers and tracks those that
+ * have not ended (Tickets.h). The other routers query it by datagram. If the
+ * dispatcher does not reply within DISPATCH_TIMEOUT_MS, the router chooses an
+ * engine itself and queries the next router in rank for a while. Two routers
+ * that both act as the dispatcher of a group only worsen the load balance.
  */
 #include "Counters.h"
 #include "Membership.h"
 #include "PeerDatagrams.h"
 #include "Policy.h"
 
-/** How long a router waits for an answer, in ms: the round trip between
- * halls, twice, and a turn of a busy loop */
-#define DISPATCH_WAIT_MS 25
+/** How long a router waits for a dispatcher's answer, in ms: two round trips
+ * between halls and one iteration of a busy event loop */
+#define DISPATCH_TIMEOUT_MS 25
 
-/** Engines of a group, about: enough to choose from, and few enough for one
- * router to place all of their requests */
+/** Approximate number of engines in a group: enough to choose from, and few
+ * enough for one router to place all of their requests */
 #define DISPATCH_GROUP_SIZE 8
 
 /**
- * struct DispatchTicket_t - a request that a dispatcher has placed
- * @id: 0 for none
- * @dispatcher: who has placed it
+ * struct DispatchTicket_t - identifies a request that a dispatcher placed
+ * @id: 0 if no dispatcher placed the request
+ * @dispatcher: address of the router that placed it
  */
 typedef struct {
     guint64 id;
@@ -35,22 +37,23 @@
 } DispatchTicket_t;
 
 /**
- * DispatchDone_t - the answer came, or did not
- * @choice: where it goes; without an upstream where the asker has to choose
- * @ticket: to be ended with Dispatch_end()
+ * DispatchDone_t - called when a query is answered or has timed out
+ * @choice: the dispatcher's choice; its upstream is NULL if the requester has
+ *     to choose
+ * @ticket: to be ended with Dispatch_endTicket(); its id is 0 after a timeout
  */
 typedef void (*DispatchDone_t)(void *owner, const Choice_t *choice,
                                const DispatchTicket_t *ticket);
 
 /**
- * struct DispatchSpec_t - what it needs; all must outlive it
+ * struct DispatchSpec_t - dependencies, which must outlive the Dispatch_t
  * @membership: the routers
- * @datagrams: to all of them
- * @upstreams: to choose from
- * @policy: by which a dispatcher chooses
- * @counters: for questions
- * @prefer: fills in which weights are preferred for a model
- * @owner: of @prefer
+ * @datagrams: carries messages to and from the other routers
+ * @upstreams: the engines to choose from
+ * @policy: chooses an engine where this router is the dispatcher
+ * @counters: counts answered and unanswered queries
+ * @prefer: sets the preferred weights of a model in a placement
+ * @owner: argument of @prefer
  */
 typedef struct {
     Membership_t *membership;
@@ -66,46 +69,51 @@
 /** struct Dispatch_t - opaque */
 typedef struct Dispatch Dispatch_t;
 
-/** struct DispatchAsk_t - a question under way; opaque */
-typedef struct DispatchAsk DispatchAsk_t;
+/** struct DispatchQuery_t - a query awaiting its answer; opaque */
+typedef struct DispatchQuery DispatchQuery_t;
 
-/** Dispatch_create() - answer and ask */
+/** Dispatch_create() - start to answer the queries of other routers */
 Dispatch_t *Dispatch_create(struct event_base *base,
                             const DispatchSpec_t *spec);
 
-/** Dispatch_destroy() - free it; no question may be open */
+/** Dispatch_destroy() - free it; no query may be pending */
 void Dispatch_destroy(Dispatch_t *this);
 
-/** Dispatch_groups() - groups that so many engines are divided into; 1 where
- * routers share their loads instead */
-guint Dispatch_groups(const Dispatch_t *this, guint engines);
+/** Dispatch_countGroups() - number of groups for a number of engines; 1 if
+ * routers broadcast their loads instead */
+guint Dispatch_countGroups(const Dispatch_t *this, guint engines);
 
 /**
- * Dispatch_ask() - ask the dispatcher of the group of what was chosen here
- * @placement: what is weighed; without a prefix level nothing is asked
- * @model: whose weights are wanted, or NULL
- * @choice: of this router alone
- * @done: called once, unless the question is cancelled; not before the return
- * @owner: for @done
+ * Dispatch_query() - query the dispatcher of the group that @choice is in
+ * @placement: the request; no query is sent if it has no prefix level
+ * @model: model whose preferred weights apply, or NULL
+ * @choice: what this router would choose by itself
+ * @done: called once after this function has returned, unless the query is
+ *     cancelled
+ * @owner: argument of @done
  *
- * Return: NULL where this router's choice stands
+ * Return: the query, or NULL if no other router dispatches the request, so
+ * that @choice is to be used
  */
-DispatchAsk_t *Dispatch_ask(Dispatch_t *this, const Placement_t *placement,
-                            const char *model, const Choice_t *choice,
-                            DispatchDone_t done, void *owner);
-
-/** Dispatch_cancel() - forget a question; its @done is not called */
-void Dispatch_cancel(DispatchAsk_t *ask);
-
-/** Dispatch_begin() - the first token of a ticket's request came after so
- * long; nothing where the ticket is none, as with the next two */
-void Dispatch_begin(const Dispatch_t *this, const DispatchTicket_t *ticket,
-                    gint64 waited_us);
-
-/** Dispatch_refused() - its upstream refused a ticket's request, as not run */
-void Dispatch_refused(const Dispatch_t *this, DispatchTicket_t *ticket);
-
-/** Dispatch_end() - a ticket's request is over, or goes elsewhere */
-void Dispatch_end(const Dispatch_t *this, DispatchTicket_t *ticket);
+DispatchQuery_t *Dispatch_query(Dispatch_t *this, const Placement_t *placement,
+                                const char *model, const Choice_t *choice,
+                                DispatchDone_t done, void *owner);
+
+/** Dispatch_cancelQuery() - drop a query without calling its @done */
+void Dispatch_cancelQuery(DispatchQuery_t *query);
+
+/** Dispatch_reportFirstToken() - report how long a request took to its first
+ * token to the dispatcher; no-op if the ticket's id is 0 */
+void Dispatch_reportFirstToken(const Dispatch_t *this,
+                               const DispatchTicket_t *ticket,
+                               gint64 waited_us);
+
+/** Dispatch_reportRefusal() - notify the dispatcher that the upstream refused
+ * a request without running it, and end the ticket; no-op if its id is 0 */
+void Dispatch_reportRefusal(const Dispatch_t *this, DispatchTicket_t *ticket);
+
+/** Dispatch_endTicket() - notify the dispatcher that a request has ended or is
+ * sent to another upstream; no-op if the ticket's id is 0 */
+void Dispatch_endTicket(const Dispatch_t *this, DispatchTicket_t *ticket);
 
 #endif
--- a/src/HintFlood.c
+++ b/src/HintFlood.c
@@ -2,17 +2,18 @@
 
 #include "Clock.h"
 
-/* Batches keep the messages few; a hint is worth little after seconds. */
-#define TICK_MS 50
-/* Hints of one batch at the most; what exceeds it is left out. */
-#define BATCH_MAX 512
+/* Batching limits the number of messages; a hint loses its use within
+ * seconds. */
+#define SEND_INTERVAL_MS 50
+/* Further hints of the same interval are dropped. */
+#define BATCH_HINTS_MAX 512
 
 struct HintFlood {
     Membership_t *membership;
-    HintTake_t take;
+    HintHandler_t handler;
     void *owner;
     GArray *batch; /* Hint_t */
-    struct event *tick;
+    struct event *send_timer;
 };
 
 static void
@@ -49,49 +50,49 @@
         send_batch(this);
         g_array_set_size(this->batch, 0);
     }
-    Clock_arm(this->tick, TICK_MS);
+    Clock_arm(this->send_timer, SEND_INTERVAL_MS);
 }
 
 HintFlood_t *
 HintFlood_create(struct event_base *base, Membership_t *membership,
-                 HintTake_t take, void *owner)
+                 HintHandler_t handler, void *owner)
 {
     HintFlood_t *this = g_new0(HintFlood_t, 1);
     this->membership = membership;
-    this->take = take;
+    this->handler = handler;
     this->owner = owner;
     this->batch = g_array_new(FALSE, FALSE, sizeof(Hint_t));
-    this->tick = Clock_timer(base, on_tick, this);
-    Clock_arm(this->tick, TICK_MS);
+    this->send_timer = Clock_timer(base, on_tick, this);
+    Clock_arm(this->send_timer, SEND_INTERVAL_MS);
     return this;
 }
 
 void
 HintFlood_destroy(HintFlood_t *this)
 {
-    event_free(this->tick);
+    event_free(this->send_timer);
     g_array_unref(this->batch);
     g_free(this);
 }
 
 void
-HintFlood_tell(HintFlood_t *this, const Hint_t *hint)
+HintFlood_broadcast(HintFlood_t *this, const Hint_t *hint)
 {
-    if (this->batch->len < BATCH_MAX) {
+    if (this->batch->len < BATCH_HINTS_MAX) {
         g_array_append_val(this->batch, *hint);
     }
 }
 
-/* Where all are linked with all, everyone has it from its source. */
+/* In a full mesh, each router receives hints from their source directly. */
 void
-HintFlood_take(HintFlood_t *this, const Wt__Hints *message)
+HintFlood_receive(HintFlood_t *this, const Wt__Hints *message)
 {
-    gboolean pass_on = !Membership_isMesh(this->membership);
+    gboolean forward = !Membership_isMesh(this->membership);
     for (size_t i = 0; i < message->n_hints; i++) {
         Hint_t hint = {(HintKind_t)message->hints[i]->kind,
                        message->hints[i]->subject, message->hints[i]->value};
-        if (this->take(this->owner, &hint) && pass_on) {
-            HintFlood_tell(this, &hint);
+        if (this->handler(this->owner, &hint) && forward) {
+            HintFlood_broadcast(this, &hint);
         }
     }
 }
--- a/src/LoadShare.c
+++ b/src/LoadShare.c
@@ -2,27 +2,27 @@
 
 #include "Clock.h"
 
-/* A load changes within the time that a prompt takes to be read. */
-#define TICK_MS 50
-/* What a router that falls silent has told counts for so long. */
-#define EXPIRY_MS 1000
+/* Loads change about as fast as an engine reads a prompt. */
+#define SEND_INTERVAL_MS 50
+/* How long the last report of a router counts after it stops sending. */
+#define REPORT_LIFETIME_MS 1000
 
-/* Prefixes told in one message; more are left out, which costs a move. */
+/* Prefixes in one message. A prefix that is left out costs a transfer. */
 #define READS_MAX 256
 
 struct LoadShare {
     LoadShareSpec_t spec;
-    GHashTable *reports; /* member's name -> Report_t */
-    GArray *reads;       /* Read_t, since the last message */
-    gboolean was_busy;   /* as it was last told */
-    struct event *tick;
+    GHashTable *reports; /* member name -> Report_t */
+    GArray *reads;       /* Read_t, prefixes read since the last message */
+    gboolean sent_busy;  /* whether the last message had loads */
+    struct event *send_timer;
 };
 
 typedef struct {
     guint64 upstream; /* hash of its name */
-    guint tokens;
+    guint tokens;     /* of prompts, not computed yet */
     guint requests;
-    guint link_us;
+    guint link_us; /* remaining time of transfers on the upstream's link */
 } Load_t;
 
 typedef struct {
@@ -30,9 +30,9 @@
     guint64 upstream; /* hash of its name */
 } Read_t;
 
-/* The last message of one member. */
+/* Loads in the last message of a member. */
 typedef struct {
-    gint64 heard_ms;
+    gint64 received_ms;
     GArray *loads; /* Load_t */
     guint store_link_us;
 } Report_t;
@@ -46,7 +46,7 @@
 }
 
 static void
-clear_sums(LoadShare_t *this)
+clear_peer_loads(LoadShare_t *this)
 {
     const GPtrArray *all = UpstreamSet_all(this->spec.upstreams);
     for (guint i = 0; i < all->len; i++) {
@@ -70,9 +70,9 @@
 }
 
 static void
-add_up(LoadShare_t *this)
+sum_peer_loads(LoadShare_t *this)
 {
-    clear_sums(this);
+    clear_peer_loads(this);
     gint64 store_us = 0;
     GHashTableIter iter;
     gpointer value = NULL;
@@ -91,29 +91,30 @@
 make_report(const Wt__UpstreamLoads *message)
 {
     Report_t *report = g_new0(Report_t, 1);
-    report->heard_ms = Clock_nowMs();
+    report->received_ms = Clock_nowMs();
     report->store_link_us = message->store_link_us;
     report->loads = g_array_new(FALSE, FALSE, sizeof(Load_t));
     for (size_t i = 0; i < message->n_loads; i++) {
-        const Wt__UpstreamLoad *told = message->loads[i];
-        Load_t load = {told->upstream, told->tokens, told->requests,
-                       told->link_us};
+        const Wt__UpstreamLoad *peer_load = message->loads[i];
+        Load_t load = {peer_load->upstream, peer_load->tokens,
+                       peer_load->requests, peer_load->link_us};
         g_array_append_val(report->loads, load);
     }
     return report;
 }
 
-/* What has changed since a peer's last message. */
+/* Taken tokens and prefix reads are increments since the previous message of
+ * the peer, while the loads are totals. */
 static void
-take_changes(const LoadShare_t *this, const Wt__UpstreamLoads *message)
+apply_changes(const LoadShare_t *this, const Wt__UpstreamLoads *message)
 {
     gint64 now_ms = Clock_nowMs();
     for (size_t i = 0; i < message->n_loads; i++) {
-        const Wt__UpstreamLoad *told = message->loads[i];
+        const Wt__UpstreamLoad *peer_load = message->loads[i];
         Upstream_t *upstream =
-            UpstreamSet_findHash(this->spec.upstreams, told->upstream);
+            UpstreamSet_findHash(this->spec.upstreams, peer_load->upstream);
         if (upstream) {
-            EngineMemory_takeTold(&upstream->memory, told->taken_tokens);
+            EngineMemory_takeTold(&upstream->memory, peer_load->taken_tokens);
         }
     }
     for (size_t i = 0; i < message->n_reads; i++) {
@@ -128,13 +129,13 @@
 }
 
 void
-LoadShare_take(LoadShare_t *this, const char *member,
-               const Wt__UpstreamLoads *message)
+LoadShare_receive(LoadShare_t *this, const char *member,
+                  const Wt__UpstreamLoads *message)
 {
     g_hash_table_replace(this->reports, g_strdup(member),
                          make_report(message));
-    take_changes(this, message);
-    add_up(this);
+    apply_changes(this, message);
+    sum_peer_loads(this);
 }
 
 void
@@ -148,10 +149,11 @@
 }
 
 static gboolean
-is_old(gpointer member, gpointer data, gpointer now_ms)
+is_expired(gpointer member, gpointer data, gpointer now_ms)
 {
     (void)member;
-    return *(gint64 *)now_ms - ((Report_t *)data)->heard_ms >= EXPIRY_MS;
+    return *(gint64 *)now_ms - ((Report_t *)data)->received_ms >=
+           REPORT_LIFETIME_MS;
 }
 
 static gboolean
@@ -163,7 +165,7 @@
 }
 
 static GPtrArray *
-find_busy(const LoadShare_t *this)
+find_busy_upstreams(const LoadShare_t *this)
 {
     const GPtrArray *all = UpstreamSet_all(this->spec.upstreams);
     GPtrArray *busy = g_ptr_array_new();
@@ -237,18 +239,18 @@
     (void)what;
     LoadShare_t *this = data;
     gint64 now_ms = Clock_nowMs();
-    if (g_hash_table_foreach_remove(this->reports, is_old, &now_ms) > 0) {
-        add_up(this);
+    if (g_hash_table_foreach_remove(this->reports, is_expired, &now_ms) > 0) {
+        sum_peer_loads(this);
     }
     if (Membership_isMesh(this->spec.membership)) {
-        GPtrArray *busy = find_busy(this);
-        if (busy->len > 0 || this->was_busy) {
+        GPtrArray *busy = find_busy_upstreams(this);
+        if (busy->len > 0 || this->sent_busy) {
             send_loads(this, busy);
         }
-        this->was_busy = busy->len > 0;
+        this->sent_busy = busy->len > 0;
         g_ptr_array_unref(busy);
     }
-    Clock_arm(this->tick, TICK_MS);
+    Clock_arm(this->send_timer, SEND_INTERVAL_MS);
 }
 
 LoadShare_t *
@@ -259,15 +261,15 @@
     this->reads = g_array_new(FALSE, FALSE, sizeof(Read_t));
     this->reports =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_report);
-    this->tick = Clock_timer(base, on_tick, this);
-    Clock_arm(this->tick, TICK_MS);
+    this->send_timer = Clock_timer(base, on_tick, this);
+    Clock_arm(this->send_timer, SEND_INTERVAL_MS);
     return this;
 }
 
 void
 LoadShare_destroy(LoadShare_t *this)
 {
-    event_free(this->tick);
+    event_free(this->send_timer);
     g_array_unref(this->reads);
     g_hash_table_destroy(this->reports);
     g_free(this);
--- a/src/LoadShare.h
+++ b/src/LoadShare.h
@@ -3,12 +3,13 @@
 /**
  * DOC: LoadShare
  *
- * Routers tell each other what they have sent to each upstream and what it
- * has not begun to answer, which prefixes were read where, and what is under
- * way on links, where upstreams don't report that themselves. It is sent only
- * where all routers are linked with all: with more of them each sees too small
- * a part of the others' load for the cost, and learned waits have to do
- * (Upstream_waitUs()).
+ * Broadcasts this router's load and collects that of its peers: the open
+ * requests at each upstream and the prompt tokens of those without a first
+ * token, the prefixes that upstreams have read, and the pending transfers on
+ * links. This covers upstreams that do not report these values themselves.
+ * Loads are sent only in a full mesh. With more routers, each would see too
+ * small a part of the others' load for the cost, so that routers rely on
+ * learned waits instead (Upstream_waitUs()).
  */
 #include "CacheStore.h"
 #include "Membership.h"
@@ -19,11 +20,11 @@
 typedef struct LoadShare LoadShare_t;
 
 /**
- * struct LoadShareSpec_t - what it needs; all must outlive it
- * @upstreams: whose loads are told
+ * struct LoadShareSpec_t - dependencies, which must outlive the LoadShare_t
+ * @upstreams: upstreams whose loads are shared
  * @membership: the other routers
- * @policy: learns what peers' requests have read
- * @store: of cached prefixes
+ * @policy: learns which prefixes upstreams have read for peers
+ * @store: store of cached prefixes, whose link's load is shared
  */
 typedef struct {
     UpstreamSet_t *upstreams;
@@ -32,19 +33,20 @@
     CacheStore_t *store;
 } LoadShareSpec_t;
 
-/** LoadShare_create() - start to tell */
+/** LoadShare_create() - start to broadcast loads */
 LoadShare_t *LoadShare_create(struct event_base *base,
                               const LoadShareSpec_t *spec);
 
 /** LoadShare_destroy() - free it */
 void LoadShare_destroy(LoadShare_t *this);
 
-/** LoadShare_noteRead() - an upstream has read a prefix for this router */
+/** LoadShare_noteRead() - record that an upstream has read a prefix for
+ * this router */
 void LoadShare_noteRead(LoadShare_t *this, guint64 prefix,
                         const Upstream_t *upstream);
 
-/** LoadShare_take() - a peer's message */
-void LoadShare_take(LoadShare_t *this, const char *member,
-                    const Wt__UpstreamLoads *message);
+/** LoadShare_receive() - apply a peer's message */
+void LoadShare_receive(LoadShare_t *this, const char *member,
+                       const Wt__UpstreamLoads *message);
 
 #endif
--- a/src/LoadShed.c
+++ b/src/LoadShed.c
@@ -4,18 +4,18 @@
 #include "Log.h"
 #include "Random.h"
 
-/* So many times the mean miss leave nine of ten in time, where misses are
- * spread as of many small causes. */
-#define SPREADS 1.6
-/* Nobody is asked to come back sooner: a few round trips. */
-#define RETRY_LEAST_MS 200
-/* Callers wait a third of their time at the most before they come back. */
-#define WAIT_PARTS 3
+/* Safety margin in mean estimate errors: 9 of 10 requests meet the objective
+ * if the errors are normally distributed. */
+#define MARGIN_SPREADS 1.6
+/* A few round trips. */
+#define RETRY_AFTER_MIN_MS 200
+/* Callers wait at most their remaining time divided by this before a retry. */
+#define RETRY_AFTER_MAX_DIVISOR 3
 
 static gint64
 margin_us(gint64 spread_us)
 {
-    return (gint64)(SPREADS * (double)spread_us);
+    return (gint64)(MARGIN_SPREADS * (double)spread_us);
 }
 
 gint64
@@ -25,95 +25,96 @@
 }
 
 static gint64
-ahead_us(const LoadShedFacts_t *facts)
+queue_us(const LoadShedInput_t *input)
 {
-    return MAX(facts->expected_us - facts->own_us, 0);
+    return MAX(input->expected_us - input->own_us, 0);
 }
 
-/* Whether one that comes now would begin in time after so much. */
 static gboolean
-is_in_time(const LoadShedFacts_t *facts, gint64 begins_us)
+meets_objective(const LoadShedInput_t *input, gint64 expected_us)
 {
-    return begins_us <=
-           LoadShed_latestUs(facts->objective_ms, facts->spread_us);
+    return expected_us <=
+           LoadShed_latestUs(input->objective_ms, input->spread_us);
 }
 
-/* A queue that is no longer than what estimates are off by may be none. */
+/* A queue shorter than the estimate's margin of error may be empty. */
 static gboolean
-is_queued(const LoadShedFacts_t *facts)
+is_queued(const LoadShedInput_t *input)
 {
-    return ahead_us(facts) > margin_us(facts->spread_us);
+    return queue_us(input) > margin_us(input->spread_us);
 }
 
 static gboolean
-is_hopeless(const LoadShedFacts_t *facts)
+exceeds_caller_timeout(const LoadShedInput_t *input)
 {
-    return facts->expected_us >= facts->left_ms * CLOCK_US_PER_MS;
+    return input->expected_us >= input->left_ms * CLOCK_US_PER_MS;
 }
 
-/* When it would be in time if nothing came before it; by up to half of the
- * queue later, so that those who are refused together come back apart. */
+/* The time until the queue has shrunk enough for the request to be in time if
+ * no other request arrives, plus a random part of up to half of the queue, so
+ * that callers shed together do not retry together. */
 static guint
-retry_after_ms(const LoadShedFacts_t *facts)
+compute_retry_after_ms(const LoadShedInput_t *input)
 {
-    gint64 ahead_ms = ahead_us(facts) / CLOCK_US_PER_MS;
-    gint64 room_ms =
-        (facts->expected_us + margin_us(facts->spread_us)) / CLOCK_US_PER_MS -
-        facts->objective_ms;
-    gint64 wait_ms = room_ms + Random_below((guint32)ahead_ms / 2 + 1);
-    gint64 most_ms = MAX(facts->left_ms / WAIT_PARTS, RETRY_LEAST_MS);
-    return (guint)CLAMP(wait_ms, RETRY_LEAST_MS, most_ms);
+    gint64 queue_ms = queue_us(input) / CLOCK_US_PER_MS;
+    gint64 excess_ms =
+        (input->expected_us + margin_us(input->spread_us)) / CLOCK_US_PER_MS -
+        input->objective_ms;
+    gint64 wait_ms = excess_ms + Random_below((guint32)queue_ms / 2 + 1);
+    gint64 max_ms =
+        MAX(input->left_ms / RETRY_AFTER_MAX_DIVISOR, RETRY_AFTER_MIN_MS);
+    return (guint)CLAMP(wait_ms, RETRY_AFTER_MIN_MS, max_ms);
 }
 
-/* A prompt that takes longer than the objective is late without any queue.
- * What estimates are off by does not count here: once they are off by more
- * than the objective, the shortest prompt would be let into any queue, which
- * makes estimates worse still. */
+/* A prompt that takes longer to compute than the objective is late even with
+ * an empty queue. The margin is not applied here: once it exceeded the
+ * objective, even the shortest prompt would be admitted to any queue, which
+ * makes the estimates worse still. */
 static gboolean
-is_late_alone(const LoadShedFacts_t *facts)
+is_late_unqueued(const LoadShedInput_t *input)
 {
-    return facts->own_us > facts->objective_ms * CLOCK_US_PER_MS;
+    return input->own_us > input->objective_ms * CLOCK_US_PER_MS;
 }
 
-/* The queue is kept so short that one who comes for the first time can be in
- * time; those who come again wait for the same. Where these were let to wait
- * as long as they would, days of high load were worth 0.36 instead of 0.49
- * (mean of 16 runs each). */
+/* Keeps the queue short enough for a new request to meet the objective. A
+ * retry of a shed request follows the same rule: admitting retries to any
+ * queue that they had time for lowered the value of days of high load from
+ * 0.49 to 0.36 (mean of 16 runs each). */
 static gboolean
-is_admitted(const LoadShedFacts_t *facts)
+is_admitted(const LoadShedInput_t *input)
 {
-    if (facts->objective_ms == 0) {
+    if (input->objective_ms == 0) {
         return TRUE;
     }
-    if (is_hopeless(facts)) {
+    if (exceeds_caller_timeout(input)) {
         return FALSE;
     }
-    return is_in_time(facts, facts->expected_us) || !is_queued(facts) ||
-           is_late_alone(facts);
+    return meets_objective(input, input->expected_us) || !is_queued(input) ||
+           is_late_unqueued(input);
 }
 
-LoadShedPlan_t
-LoadShed_decide(const LoadShedFacts_t *facts)
+LoadShedDecision_t
+LoadShed_decide(const LoadShedInput_t *input)
 {
-    LoadShedPlan_t plan = {.admitted = is_admitted(facts)};
-    if (!plan.admitted) {
-        plan.retry_after_ms = retry_after_ms(facts);
+    LoadShedDecision_t decision = {.admitted = is_admitted(input)};
+    if (!decision.admitted) {
+        decision.retry_after_ms = compute_retry_after_ms(input);
     }
-    return plan;
+    return decision;
 }
 
 void
-LoadShed_log(const LoadShedFacts_t *facts, const LoadShedPlan_t *plan,
+LoadShed_log(const LoadShedInput_t *input, const LoadShedDecision_t *decision,
              const char *request, const char *upstream)
 {
     Log_begin(LOG_LEVEL_INFO, "request_shed");
     Log_text("request", request);
     Log_text("upstream", upstream);
-    Log_number("expected_us", facts->expected_us);
-    Log_number("own_us", facts->own_us);
-    Log_number("spread_us", facts->spread_us);
-    Log_number("objective_ms", facts->objective_ms);
-    Log_number("left_ms", facts->left_ms);
-    Log_number("retry_after_ms", plan->retry_after_ms);
+    Log_number("expected_us", input->expected_us);
+    Log_number("own_us", input->own_us);
+    Log_number("spread_us", input->spread_us);
+    Log_number("objective_ms", input->objective_ms);
+    Log_number("left_ms", input->left_ms);
+    Log_number("retry_after_ms", decision->retry_after_ms);
     Log_end();
 }
--- a/src/LoadShed.h
+++ b/src/LoadShed.h
@@ -3,21 +3,23 @@
 /**
  * DOC: LoadShed
  *
- * Whether a request is placed at all. Where no engine can begin its answer
- * in time, it would wait in a queue and make all behind it late as well. It
- * is refused at once instead and told when the queue should have gone. One
- * that is late by its own length alone is placed. A decision from facts alone,
- * without any effect.
+ * Decides whether a request is admitted or shed. If no engine can begin the
+ * answer in time, the request would wait in a queue and delay all requests
+ * behind it, so it is refused at once with the time after which the queue
+ * should be short enough. A request whose prompt alone takes longer than the
+ * objective is admitted. The decision is a pure function of its input, but for
+ * a random part of the retry time.
  */
 #include <glib.h>
 
 /**
- * struct LoadShedFacts_t - what the decision rests on
- * @expected_us: when the best engine is expected to begin the answer
- * @own_us: the part of it that its prompt itself takes to compute
- * @spread_us: by how much that is off on the mean
- * @objective_ms: when it should begin; 0 where the route has no objective
- * @left_ms: time that the caller still waits
+ * struct LoadShedInput_t - input of the decision
+ * @expected_us: expected time to the first token at the best engine
+ * @own_us: the part of @expected_us that computing the prompt itself takes
+ * @spread_us: mean error of such estimates
+ * @objective_ms: objective for the time to the first token; 0 if the route has
+ *     none
+ * @left_ms: time until the caller's deadline
  */
 typedef struct {
     gint64 expected_us;
@@ -25,34 +27,37 @@
     gint64 spread_us;
     gint64 objective_ms;
     gint64 left_ms;
-} LoadShedFacts_t;
+} LoadShedInput_t;
 
 /**
- * struct LoadShedPlan_t - the decision
- * @admitted: it is placed
- * @retry_after_ms: when to come back, where it is not
+ * struct LoadShedDecision_t - the decision
+ * @admitted: whether the request is placed
+ * @retry_after_ms: when to retry a request that was shed
  */
 typedef struct {
     gboolean admitted;
     guint retry_after_ms;
-} LoadShedPlan_t;
+} LoadShedDecision_t;
 
 /**
- * LoadShed_log() - a line of a refusal and what decided it
- * @request: its id
+ * LoadShed_log() - log that a request was shed, with the input
+ * @request: id of the request
  * @upstream: name of the best engine
  */
-void LoadShed_log(const LoadShedFacts_t *facts, const LoadShedPlan_t *plan,
-                  const char *request, const char *upstream);
+void LoadShed_log(const LoadShedInput_t *input,
+                  const LoadShedDecision_t *decision, const char *request,
+                  const char *upstream);
 
-/** LoadShed_decide() - decide from the facts */
-LoadShedPlan_t LoadShed_decide(const LoadShedFacts_t *facts);
+/** LoadShed_decide() - decide whether to admit a request */
+LoadShedDecision_t LoadShed_decide(const LoadShedInput_t *input);
 
 /**
- * LoadShed_latestUs() - expected time up to which a first token counts as in
- * time
- * @objective_ms: when it should come
- * @spread_us: by how much what is expected is off on the mean
+ * LoadShed_latestUs() - longest expected time to the first token that counts
+ * as in time
+ * @objective_ms: objective for the time to the first token
+ * @spread_us: mean error of such estimates
+ *
+ * Return: may be negative
  */
 gint64 LoadShed_latestUs(gint64 objective_ms, gint64 spread_us);
 
--- a/src/OrderedEngine.c
+++ b/src/OrderedEngine.c
@@ -120,7 +120,7 @@
 {
     Hint_t news = {kind, this->upstream->hash, value};
     if (this->giver->hints) {
-        HintFlood_tell(this->giver->hints, &news);
+        HintFlood_broadcast(this->giver->hints, &news);
     }
 }
 
@@ -458,7 +458,7 @@
 {
     if (this->giver->form->listed &&
         Upstream_noteSoon(this->upstream, SOON_MS, Clock_nowMs())) {
-        hint(this, HINT_SOON, SOON_MS);
+        hint(this, HINT_LOAD_SOON, SOON_MS);
         Log_begin(LOG_LEVEL_INFO, "load_expected");
         Log_text("upstream", this->upstream->name->str);
         Log_number("for_ms", SOON_MS);
--- a/src/RateCounts.c
+++ b/src/RateCounts.c
@@ -79,7 +79,7 @@
 {
     gint64 now_ms = Clock_nowMs();
     keep_looking(this, now_ms);
-    RateBook_setReach(this->book, Reach_part(this->reach));
+    RateBook_setReach(this->book, Reach_fraction(this->reach));
     RateRuling_t ruling = RateBook_rule(this->book, claim, now_ms);
     if (ruling.closed_now) {
         Closing_t closing = {this->links, claim->subject, ruling};
@@ -115,11 +115,11 @@
         this->pressed_ms = now_ms;
     }
     if (now_ms - this->pressed_ms > REACH_MS) {
-        Reach_rest(this->reach);
+        Reach_reset(this->reach);
         return;
     }
     this->links->class->draw(this->links->owner, &sample);
-    Reach_step(this->reach, &sample, send_probe, this->links);
+    Reach_startRound(this->reach, &sample, send_probe, this->links);
 }
 
 static void
@@ -132,7 +132,7 @@
 forget(RateCounts_t *this)
 {
     RateBook_forget(this->book);
-    Reach_rest(this->reach);
+    Reach_reset(this->reach);
     this->looks = 0;
 }
 
--- a/src/RatePeers.c
+++ b/src/RatePeers.c
@@ -106,7 +106,7 @@
     const RatePeers_t *this = owner;
     const GPtrArray *members = Membership_members(this->spec.membership);
     out->others = members->len;
-    out->drawn = MIN(members->len, REACH_SAMPLE);
+    out->drawn = MIN(members->len, REACH_SAMPLE_MAX);
     guint start = members->len > 0 ? Random_below(members->len) : 0;
     guint stride = members->len / MAX(out->drawn, 1);
     for (guint i = 0; i < out->drawn; i++) {
--- a/src/RelayDispatch.c
+++ b/src/RelayDispatch.c
@@ -71,14 +71,14 @@
         !context->settings->relay.refuse_late) {
         return FALSE;
     }
-    LoadShedFacts_t facts = {
+    LoadShedInput_t facts = {
         .expected_us = placing->choice.cost_us,
         .own_us = placing->choice.own_us,
         .objective_ms = this->route->objective_ms,
         .spread_us = Forecast_spreadUs(context->forecast, super->target->str),
         .left_ms = super->deadline_ms - Clock_nowMs(),
     };
-    LoadShedPlan_t plan = LoadShed_decide(&facts);
+    LoadShedDecision_t plan = LoadShed_decide(&facts);
     if (!plan.admitted) {
         LoadShed_log(&facts, &plan, super->id->str,
                      placing->choice.upstream->name->str);
@@ -190,7 +190,7 @@
 {
     Dispatch_t *dispatch = this->super.context->dispatch;
     if (dispatch && !wish->terms.permitted) {
-        Dispatch_refused(dispatch, &this->ticket);
+        Dispatch_reportRefusal(dispatch, &this->ticket);
     }
 }
 
@@ -204,9 +204,9 @@
         return;
     }
     Dispatch_t *dispatch = asked_dispatch(this, &wish);
-    this->ask = dispatch ? Dispatch_ask(dispatch, &placing.placement,
-                                        this->request.model, &placing.choice,
-                                        on_dispatched, this)
+    this->ask = dispatch ? Dispatch_query(dispatch, &placing.placement,
+                                          this->request.model, &placing.choice,
+                                          on_dispatched, this)
                          : NULL;
     if (!this->ask) {
         go_to(this, &wish, &placing);
--- a/src/RelayExchange.c
+++ b/src/RelayExchange.c
@@ -31,7 +31,7 @@
 RelayExchange_endTicket(RelayExchange_t *this)
 {
     if (this->super.context->dispatch) {
-        Dispatch_end(this->super.context->dispatch, &this->ticket);
+        Dispatch_endTicket(this->super.context->dispatch, &this->ticket);
     }
 }
 
@@ -49,7 +49,7 @@
     RelayExchange_t *this = (RelayExchange_t *)super;
     RelayMove_forbid(this);
     if (this->ask) {
-        Dispatch_cancel(this->ask);
+        Dispatch_cancelQuery(this->ask);
     }
     RelayAnswer_destroy(this->answer);
     this->form->caller->clear_request(&this->request);
--- a/src/RelayExchangeState.h
+++ b/src/RelayExchangeState.h
@@ -84,7 +84,7 @@
     RelayAttempt_t *attempt;
     RelayFeedback_t feedback;
     RelayMove_t *move;
-    DispatchAsk_t *ask;
+    DispatchQuery_t *ask;
     DispatchTicket_t ticket;
     EventPipe_t *events;
     struct evbuffer *body;
--- a/src/RelayMove.c
+++ b/src/RelayMove.c
@@ -38,7 +38,7 @@
 struct RelayMove {
     RelayExchange_t *exchange;
     const MoveCause_t *cause;
-    DispatchAsk_t *ask; /* question to the dispatcher, or NULL */
+    DispatchQuery_t *ask; /* question to the dispatcher, or NULL */
     DispatchTicket_t ticket;
     RelayAttempt_t *attempt; /* at the next engine, or NULL */
     gboolean may_have_run;   /* it ended, and is not known not to have run */
@@ -108,7 +108,7 @@
 {
     log_move(this, "stream_stays", reason);
     if (this->ask) {
-        Dispatch_cancel(this->ask);
+        Dispatch_cancelQuery(this->ask);
     }
     note_try(this);
     if (this->attempt) {
@@ -116,7 +116,7 @@
         RelayAttempt_cancel(this->attempt);
     }
     if (context_of(this)->dispatch) {
-        Dispatch_end(context_of(this)->dispatch, &this->ticket);
+        Dispatch_endTicket(context_of(this)->dispatch, &this->ticket);
     }
     free_move(this);
 }
@@ -227,7 +227,7 @@
     if (end == ATTEMPT_NOT_RUN && head) {
         RelayFeedback_noteRefusal(&this->feedback, head);
         if (context_of(this)->dispatch) {
-            Dispatch_refused(context_of(this)->dispatch, &this->ticket);
+            Dispatch_reportRefusal(context_of(this)->dispatch, &this->ticket);
         }
     }
     else if (end != ATTEMPT_SILENT) {
@@ -334,7 +334,7 @@
         placing.choice = *choice;
     }
     else if (context_of(this)->dispatch) {
-        Dispatch_end(context_of(this)->dispatch, &this->ticket);
+        Dispatch_endTicket(context_of(this)->dispatch, &this->ticket);
     }
     send_or_stay(this, &wish, &placing);
 }
@@ -368,9 +368,9 @@
     RelayMove_t *this = create_move(exchange, cause);
     exchange->move = this;
     this->ask = context->dispatch
-                    ? Dispatch_ask(context->dispatch, &placing.placement,
-                                   exchange->request.model, &placing.choice,
-                                   on_dispatched, this)
+                    ? Dispatch_query(context->dispatch, &placing.placement,
+                                     exchange->request.model, &placing.choice,
+                                     on_dispatched, this)
                     : NULL;
     if (!this->ask) {
         send_or_stay(this, &wish, &placing);
--- a/src/RelayParts.c
+++ b/src/RelayParts.c
@@ -198,11 +198,11 @@
     case HINT_LOADED:
         weights = g_strdup_printf("%u", hint->value);
         return Upstream_noteWeights(upstream, weights);
-    case HINT_UNREACHED:
+    case HINT_UNREACHABLE:
         return take_doubt(upstream, now_ms);
-    case HINT_REACHED:
+    case HINT_REACHABLE:
         return Upstream_settleDoubt(upstream);
-    case HINT_SOON:
+    case HINT_LOAD_SOON:
         return Upstream_noteSoon(upstream, hint->value, now_ms);
     default:
         return FALSE;
@@ -394,10 +394,10 @@
 {
     switch (message->body_case) {
     case WT__PEER_MESSAGE__BODY_HINTS:
-        HintFlood_take(this->hints, message->hints);
+        HintFlood_receive(this->hints, message->hints);
         break;
     case WT__PEER_MESSAGE__BODY_LOADS:
-        LoadShare_take(this->load_share, from->name->str, message->loads);
+        LoadShare_receive(this->load_share, from->name->str, message->loads);
         break;
     case WT__PEER_MESSAGE__BODY_TOPIC_PART:
         take_part(this, from, message->topic_part);
--- a/src/RelayPlacer.c
+++ b/src/RelayPlacer.c
@@ -211,9 +211,9 @@
     guint64 seed = Salt_make(&input, key, out->salt);
     fill_levels(&out->placement, wish->request, seed);
     out->placement.groups =
-        context->dispatch
-            ? Dispatch_groups(context->dispatch, out->placement.serving->len)
-            : 1;
+        context->dispatch ? Dispatch_countGroups(context->dispatch,
+                                                 out->placement.serving->len)
+                          : 1;
     out->placement.run_us =
         RunTimes_expectedUs(context->run_times, wish->route->name->str);
     if (wish->route->objective_ms > 0) {
--- a/src/RelayRun.c
+++ b/src/RelayRun.c
@@ -34,8 +34,9 @@
         RelayFeedback_noteFirstEvent(&this->feedback,
                                      passed_us - trace->started_us);
         if (this->super.context->dispatch) {
-            Dispatch_begin(this->super.context->dispatch, &this->ticket,
-                           passed_us - trace->started_us);
+            Dispatch_reportFirstToken(this->super.context->dispatch,
+                                      &this->ticket,
+                                      passed_us - trace->started_us);
         }
         this->run_events->begun(this);
     }
@@ -120,7 +121,7 @@
 {
     Dispatch_t *dispatch = this->super.context->dispatch;
     if (end == ATTEMPT_NOT_RUN && dispatch) {
-        Dispatch_refused(dispatch, &this->ticket);
+        Dispatch_reportRefusal(dispatch, &this->ticket);
     }
     RelayExchange_endTicket(this);
 }
--- a/src/Tickets.h
+++ b/src/Tickets.h
@@ -3,62 +3,65 @@
 /**
  * DOC: Tickets
  *
- * What a dispatcher has placed for other routers and what has not ended yet.
- * Each ticket counts at its upstream (Upstream_t.ticket_tokens and
- * ticket_requests), as the router's own requests do. One of which nothing is
- * heard lapses, as the news of its end may be lost.
+ * Open requests that this router, as a dispatcher, has placed for other
+ * routers. A ticket adds to the load of its upstream (Upstream_t.ticket_tokens
+ * and ticket_requests) like a request of this router. Tickets expire, as the
+ * datagram that ends one may be lost.
  */
 #include <event2/event.h>
 
 #include "FirstToken.h"
 
-/** How long a ticket counts whose request has not begun, in ms: longer than
- * callers wait for most of their answers */
-#define TICKET_BEGIN_MS 5000
+/** Lifetime of a ticket whose first token has not been reported, in ms: longer
+ * than callers wait for most answers */
+#define TICKET_FIRST_TOKEN_TIMEOUT_MS 5000
 
-/** How long it counts at all, in ms: the longest time limit of a route in use,
- * and some more */
-#define TICKET_END_MS 20000
+/** Lifetime of a ticket whose first token has been reported, in ms: the
+ * longest time limit of a route in use plus headroom */
+#define TICKET_TIMEOUT_MS 20000
 
 /** struct Tickets_t - opaque */
 typedef struct Tickets Tickets_t;
 
-/** Tickets_create() - none yet */
+/** Tickets_create() - create an empty table */
 Tickets_t *Tickets_create(struct event_base *base);
 
-/** Tickets_destroy() - all of them end */
+/** Tickets_destroy() - free the table and end all tickets */
 void Tickets_destroy(Tickets_t *this);
 
 /**
- * Tickets_add() - a request was placed
- * @id: of the ticket; one that is known already is passed over
- * @choice: where
+ * Tickets_add() - open a ticket for a request that was placed
+ * @id: id of the ticket; no-op if the ticket is open already
+ * @placement: the request
+ * @choice: the upstream that was chosen
  */
 void Tickets_add(Tickets_t *this, guint64 id, const Placement_t *placement,
                  const Choice_t *choice);
 
-/** Tickets_isKnown() - whether a ticket counts */
-gboolean Tickets_isKnown(const Tickets_t *this, guint64 id);
+/** Tickets_isOpen() - whether a ticket is open */
+gboolean Tickets_isOpen(const Tickets_t *this, guint64 id);
 
 /**
- * Tickets_begin() - its first token came: its prompt has been computed
- * @policy: learns of it
- * @waited_us: until then, since the request was sent
+ * Tickets_noteFirstToken() - record a request's first token, which shows that
+ * its prompt has been computed; no-op if the ticket is not open
+ * @policy: learns that the upstream has read the prefix
+ * @waited_us: time from sending the request to its first token
  */
-void Tickets_begin(Tickets_t *this, guint64 id, Policy_t *policy,
-                   gint64 waited_us, gint64 now_ms);
+void Tickets_noteFirstToken(Tickets_t *this, guint64 id, Policy_t *policy,
+                            gint64 waited_us, gint64 now_ms);
 
 /**
- * Tickets_refused() - its upstream has refused it, and ends
+ * Tickets_noteRefusal() - record that the upstream refused a request, and end
+ * the ticket; no-op if the ticket is not open
  *
- * The upstream is left alone for UPSTREAM_SHED_PAUSE_MS, as by its asker.
+ * Pauses the upstream for UPSTREAM_SHED_PAUSE_MS, as the requester does.
  */
-void Tickets_refused(Tickets_t *this, guint64 id, gint64 now_ms);
+void Tickets_noteRefusal(Tickets_t *this, guint64 id, gint64 now_ms);
 
-/** Tickets_end() - it is over; nothing where it is not known */
+/** Tickets_end() - end a ticket; no-op if it is not open */
 void Tickets_end(Tickets_t *this, guint64 id);
 
-/** Tickets_expire() - end those that have lapsed; called by a timer as well */
+/** Tickets_expire() - remove expired tickets; also called by a timer */
 void Tickets_expire(Tickets_t *this, gint64 now_ms);
 
 #endif
--- a/src/UpstreamListing.c
+++ b/src/UpstreamListing.c
@@ -169,7 +169,7 @@
     }
     Hint_t hint = {HINT_LOADED, upstream->hash,
                    (guint)Upstream_version(upstream)};
-    HintFlood_tell(this->spec.hints, &hint);
+    HintFlood_broadcast(this->spec.hints, &hint);
 }
 
 static gboolean
--- a/src/UpstreamProber.c
+++ b/src/UpstreamProber.c
@@ -58,9 +58,9 @@
 static void
 tell_reached(const Probe_t *probe)
 {
-    Hint_t hint = {.kind = HINT_REACHED, .subject = probe->upstream->hash};
+    Hint_t hint = {.kind = HINT_REACHABLE, .subject = probe->upstream->hash};
     if (Upstream_settleDoubt(probe->upstream)) {
-        HintFlood_tell(probe->owner->spec.hints, &hint);
+        HintFlood_broadcast(probe->owner->spec.hints, &hint);
     }
 }
 
@@ -138,9 +138,9 @@
 static void
 tell_peers(const UpstreamProber_t *this, Upstream_t *upstream)
 {
-    Hint_t hint = {.kind = HINT_UNREACHED, .subject = upstream->hash};
+    Hint_t hint = {.kind = HINT_UNREACHABLE, .subject = upstream->hash};
     if (Upstream_noteDoubt(upstream, Clock_nowMs())) {
-        HintFlood_tell(this->spec.hints, &hint);
+        HintFlood_broadcast(this->spec.hints, &hint);
     }
 }
 
--- a/tests/FakeRates.c
+++ b/tests/FakeRates.c
@@ -157,7 +157,7 @@
 {
     const Node_t *this = owner;
     out->others = this->play->spec->routers - 1;
-    out->drawn = MIN(out->others, REACH_SAMPLE);
+    out->drawn = MIN(out->others, REACH_SAMPLE_MAX);
     guint64 start = Random_below(out->others);
     guint stride = out->others / MAX(out->drawn, 1);
     for (guint i = 0; i < out->drawn; i++) {
--- a/tests/test_Dispatch.c
+++ b/tests/test_Dispatch.c
@@ -9,28 +9,30 @@
 #define ENGINES 32
 #define TARGET "s"
 #define MODEL "m"
-/* More than a dispatcher is waited for, and than its silence counts. */
-#define SILENCE_OVER_MS 600
-/* For what must not come: several ways there and back over loopback. */
-#define NOTHING_MS 50
-
-/* The first router asks or answers; the other one is played by the test. */
+/* Longer than the backoff from a dispatcher that did not answer. */
+#define BACKOFF_OVER_MS 600
+/* Time in which an unwanted message would arrive: several round trips over
+ * loopback. */
+#define NO_MESSAGE_MS 50
+
+/* The first router is under test; the test acts as the second one, its
+ * peer. */
 static FakeRouters_t routers;
 static Dispatch_t *dispatch;
 static Policy_t *policy;
-static PeerDatagrams_t *own;
-static PeerDatagrams_t *peer;
-static GPtrArray *heard; /* Wt__PeerMessage that came to the peer */
+static PeerDatagrams_t *router_datagrams;
+static PeerDatagrams_t *peer_datagrams;
+static GPtrArray *peer_messages; /* Wt__PeerMessage, received by the peer */
 
-/* What an asker was told. */
+/* Calls of a DispatchDone_t and the arguments of the last one. */
 typedef struct {
     guint calls;
     Choice_t choice;
     DispatchTicket_t ticket;
-} Told_t;
+} QueryResult_t;
 
-static Told_t told;
-static Told_t told_other;
+static QueryResult_t result;
+static QueryResult_t other_result;
 
 static void
 free_message(gpointer message)
@@ -39,28 +41,29 @@
 }
 
 static void
-hear(void *owner, const Wt__PeerMessage *message,
-     const struct sockaddr_in *from)
+store_message(void *owner, const Wt__PeerMessage *message,
+              const struct sockaddr_in *from)
 {
     (void)owner;
     (void)from;
     gsize size = wt__peer_message__get_packed_size(message);
     g_autofree guint8 *bytes = g_malloc(size + 1);
     wt__peer_message__pack(message, bytes);
-    g_ptr_array_add(heard, wt__peer_message__unpack(NULL, size, bytes));
+    g_ptr_array_add(peer_messages,
+                    wt__peer_message__unpack(NULL, size, bytes));
 }
 
 static void
 on_done(void *owner, const Choice_t *choice, const DispatchTicket_t *ticket)
 {
-    Told_t *this = owner;
+    QueryResult_t *this = owner;
     this->calls++;
     this->choice = *choice;
     this->ticket = *ticket;
 }
 
 static void
-prefer(const void *owner, const char *model, Placement_t *placement)
+keep_placement(const void *owner, const char *model, Placement_t *placement)
 {
     (void)owner;
     (void)model;
@@ -68,7 +71,7 @@
 }
 
 static void
-put_engines(void)
+add_engines(void)
 {
     UpstreamSpec_t spec = {.hall = g_string_new("h"),
                            .region = g_string_new("r"),
@@ -87,7 +90,7 @@
 }
 
 static gboolean
-peer_is_placed(const FakeRouters_t *this)
+is_peer_address_known(const FakeRouters_t *this)
 {
     const GPtrArray *members = Membership_members(this->list[0].membership);
     const Member_t *member = g_ptr_array_index(members, 0);
@@ -95,47 +98,49 @@
 }
 
 static void
-begin(void)
+setup(void)
 {
-    told = (Told_t){0};
-    told_other = (Told_t){0};
+    result = (QueryResult_t){0};
+    other_result = (QueryResult_t){0};
     FakeRouters_init(&routers, 2, 1);
-    FakeRouters_await(&routers, peer_is_placed);
-    put_engines();
-    Membership_t *mine = routers.list[0].membership;
-    Membership_t *theirs = routers.list[1].membership;
+    FakeRouters_await(&routers, is_peer_address_known);
+    add_engines();
+    Membership_t *router_membership = routers.list[0].membership;
+    Membership_t *peer_membership = routers.list[1].membership;
     policy = Policies_create(POLICY_HOME);
-    own = PeerDatagrams_create(routers.base, Membership_address(mine),
-                               Membership_key(mine), NULL);
-    ck_assert_ptr_nonnull(own);
-    DispatchSpec_t spec = {.membership = mine,
-                           .datagrams = own,
+    router_datagrams = PeerDatagrams_create(
+        routers.base, Membership_address(router_membership),
+        Membership_key(router_membership), NULL);
+    ck_assert_ptr_nonnull(router_datagrams);
+    DispatchSpec_t spec = {.membership = router_membership,
+                           .datagrams = router_datagrams,
                            .upstreams = routers.upstreams,
                            .policy = policy,
                            .counters = routers.counters,
-                           .prefer = prefer};
+                           .prefer = keep_placement};
     dispatch = Dispatch_create(routers.base, &spec);
     ck_assert_ptr_nonnull(dispatch);
-    heard = g_ptr_array_new_with_free_func(free_message);
-    peer = PeerDatagrams_create(routers.base, Membership_address(theirs),
-                                Membership_key(mine), NULL);
-    ck_assert_ptr_nonnull(peer);
-    PeerDatagrams_listen(peer, hear, NULL);
+    peer_messages = g_ptr_array_new_with_free_func(free_message);
+    peer_datagrams =
+        PeerDatagrams_create(routers.base, Membership_address(peer_membership),
+                             Membership_key(router_membership), NULL);
+    ck_assert_ptr_nonnull(peer_datagrams);
+    PeerDatagrams_listen(peer_datagrams, store_message, NULL);
 }
 
 static void
-end(void)
+teardown(void)
 {
-    PeerDatagrams_destroy(peer);
-    PeerDatagrams_destroy(own);
+    PeerDatagrams_destroy(peer_datagrams);
+    PeerDatagrams_destroy(router_datagrams);
     Dispatch_destroy(dispatch);
     Policy_destroy(policy);
-    g_ptr_array_unref(heard);
+    g_ptr_array_unref(peer_messages);
     FakeRouters_clear(&routers);
 }
 
 static const GPtrArray *
-serving(void)
+serving_engines(void)
 {
     return UpstreamSet_serving(routers.upstreams, ROLE_SERVICE, TARGET);
 }
@@ -143,49 +148,49 @@
 static Upstream_t *
 engine_at(guint i)
 {
-    return g_ptr_array_index(serving(), i);
+    return g_ptr_array_index(serving_engines(), i);
 }
 
 static Placement_t
-placement(void)
+make_placement(void)
 {
     return (Placement_t){.target = TARGET,
-                         .serving = serving(),
+                         .serving = serving_engines(),
                          .level_count = 2,
                          .levels = {42, 1},
                          .level_tokens = {6000, 9000},
                          .prompt_tokens = 9000,
-                         .groups = Dispatch_groups(dispatch, ENGINES),
+                         .groups = Dispatch_countGroups(dispatch, ENGINES),
                          .now_ms = Clock_nowMs()};
 }
 
-/* Asks for the first group that the peer places for; NULL where it is asked
- * for none. */
-static DispatchAsk_t *
-ask(Told_t *owner)
+/* Sends a query for the first group that the peer is the dispatcher of;
+ * returns NULL if there is none. */
+static DispatchQuery_t *
+query_dispatcher(QueryResult_t *owner)
 {
-    Placement_t wish = placement();
-    for (guint group = 0; group < wish.groups; group++) {
+    Placement_t placement = make_placement();
+    for (guint group = 0; group < placement.groups; group++) {
         Choice_t choice = {.group = group};
-        DispatchAsk_t *asked =
-            Dispatch_ask(dispatch, &wish, MODEL, &choice, on_done, owner);
-        if (asked) {
-            return asked;
+        DispatchQuery_t *query = Dispatch_query(dispatch, &placement, MODEL,
+                                                &choice, on_done, owner);
+        if (query) {
+            return query;
         }
     }
     return NULL;
 }
 
 static void
-send_to_it(const Wt__PeerMessage *message)
+send_to_router(const Wt__PeerMessage *message)
 {
     struct sockaddr_in to =
         PeerDatagrams_address(Membership_address(routers.list[0].membership));
-    PeerDatagrams_send(peer, &to, message);
+    PeerDatagrams_send(peer_datagrams, &to, message);
 }
 
 static void
-answer(guint64 ticket, guint64 upstream)
+send_answer(guint64 ticket, guint64 upstream)
 {
     Wt__PlaceAnswer body = WT__PLACE_ANSWER__INIT;
     Wt__PeerMessage message = WT__PEER_MESSAGE__INIT;
@@ -195,11 +200,11 @@
     body.cached_tokens = 6000;
     message.body_case = WT__PEER_MESSAGE__BODY_PLACE_ANSWER;
     message.place_answer = &body;
-    send_to_it(&message);
+    send_to_router(&message);
 }
 
 static void
-tell_news(guint64 ticket, Wt__PlaceState state)
+send_update(guint64 ticket, Wt__PlaceState state)
 {
     Wt__PlaceNews body = WT__PLACE_NEWS__INIT;
     Wt__PeerMessage message = WT__PEER_MESSAGE__INIT;
@@ -207,11 +212,11 @@
     body.state = state;
     message.body_case = WT__PEER_MESSAGE__BODY_PLACE_NEWS;
     message.place_news = &body;
-    send_to_it(&message);
+    send_to_router(&message);
 }
 
 static void
-send_ask(guint64 ticket, const char *target, guint64 avoid)
+send_query(guint64 ticket, const char *target, guint64 avoid)
 {
     Wt__PlaceAsk body = WT__PLACE_ASK__INIT;
     Wt__PeerMessage message = WT__PEER_MESSAGE__INIT;
@@ -224,30 +229,30 @@
     body.avoid = avoid;
     message.body_case = WT__PEER_MESSAGE__BODY_PLACE_ASK;
     message.place_ask = &body;
-    send_to_it(&message);
+    send_to_router(&message);
 }
 
 static guint
-count(Wt__PeerMessage__BodyCase kind)
+count_messages(Wt__PeerMessage__BodyCase kind)
 {
-    guint found = 0;
-    for (guint i = 0; i < heard->len; i++) {
-        const Wt__PeerMessage *message = g_ptr_array_index(heard, i);
-        found += message->body_case == kind ? 1 : 0;
+    guint total = 0;
+    for (guint i = 0; i < peer_messages->len; i++) {
+        const Wt__PeerMessage *message = g_ptr_array_index(peer_messages, i);
+        total += message->body_case == kind ? 1 : 0;
     }
-    return found;
+    return total;
 }
 
-/* The message of a kind that came at this place among its kind. */
+/* Waits for the message at @idx, from 0, among the messages of a kind. */
 static const Wt__PeerMessage *
-await(Wt__PeerMessage__BodyCase kind, guint place)
+await_message(Wt__PeerMessage__BodyCase kind, guint idx)
 {
-    while (count(kind) <= place) {
+    while (count_messages(kind) <= idx) {
         event_base_loop(routers.base, EVLOOP_ONCE);
     }
-    for (guint i = 0; i < heard->len; i++) {
-        const Wt__PeerMessage *message = g_ptr_array_index(heard, i);
-        if (message->body_case == kind && place-- == 0) {
+    for (guint i = 0; i < peer_messages->len; i++) {
+        const Wt__PeerMessage *message = g_ptr_array_index(peer_messages, i);
+        if (message->body_case == kind && idx-- == 0) {
             return message;
         }
     }
@@ -255,273 +260,272 @@
 }
 
 static guint64
-await_ask(guint place)
+await_query(guint idx)
 {
-    return await(WT__PEER_MESSAGE__BODY_PLACE_ASK, place)->place_ask->ticket;
+    return await_message(WT__PEER_MESSAGE__BODY_PLACE_ASK, idx)
+        ->place_ask->ticket;
 }
 
 static const Wt__PlaceNews *
-await_news(guint place)
+await_update(guint idx)
 {
-    return await(WT__PEER_MESSAGE__BODY_PLACE_NEWS, place)->place_news;
+    return await_message(WT__PEER_MESSAGE__BODY_PLACE_NEWS, idx)->place_news;
 }
 
 static const Wt__PlaceAnswer *
-await_answer(guint place)
+await_answer(guint idx)
 {
-    return await(WT__PEER_MESSAGE__BODY_PLACE_ANSWER, place)->place_answer;
+    return await_message(WT__PEER_MESSAGE__BODY_PLACE_ANSWER, idx)
+        ->place_answer;
 }
 
 static void
-await_told(const Told_t *this)
+await_result(const QueryResult_t *this)
 {
     while (this->calls == 0) {
         event_base_loop(routers.base, EVLOOP_ONCE);
     }
 }
 
-/* Requests that it counts for others, at all engines. */
+/* Open tickets at all engines. */
 static guint
-tickets(void)
+count_tickets(void)
 {
-    guint found = 0;
+    guint total = 0;
     for (guint i = 0; i < ENGINES; i++) {
-        found += engine_at(i)->ticket_requests;
+        total += engine_at(i)->ticket_requests;
     }
-    return found;
+    return total;
 }
 
 static void
-await_tickets(guint wanted)
+await_tickets(guint expected)
 {
-    while (tickets() != wanted) {
+    while (count_tickets() != expected) {
         event_base_loop(routers.base, EVLOOP_ONCE);
     }
 }
 
-START_TEST(an_answer_is_followed_and_its_ticket_ended_once)
-{
-    begin();
-    ck_assert_ptr_nonnull(ask(&told));
-    ck_assert_uint_eq(told.calls, 0);
-    guint64 ticket = await_ask(0);
-    answer(ticket, engine_at(3)->hash);
-    await_told(&told);
-    ck_assert_ptr_eq(told.choice.upstream, engine_at(3));
-    ck_assert_uint_eq(told.ticket.id, ticket);
-    Dispatch_begin(dispatch, &told.ticket, 5000);
-    Dispatch_end(dispatch, &told.ticket);
-    Dispatch_end(dispatch, &told.ticket);
-    Dispatch_refused(dispatch, &told.ticket);
-    ck_assert_int_eq(await_news(0)->state, WT__PLACE_STATE__BEGUN);
-    ck_assert_int_eq(await_news(1)->state, WT__PLACE_STATE__ENDED);
-    FakeRouters_run(&routers, NOTHING_MS);
-    ck_assert_uint_eq(count(WT__PEER_MESSAGE__BODY_PLACE_NEWS), 2);
-    end();
+START_TEST(an_answer_is_used_and_its_ticket_is_ended_once)
+{
+    setup();
+    ck_assert_ptr_nonnull(query_dispatcher(&result));
+    ck_assert_uint_eq(result.calls, 0);
+    guint64 ticket = await_query(0);
+    send_answer(ticket, engine_at(3)->hash);
+    await_result(&result);
+    ck_assert_ptr_eq(result.choice.upstream, engine_at(3));
+    ck_assert_uint_eq(result.ticket.id, ticket);
+    Dispatch_reportFirstToken(dispatch, &result.ticket, 5000);
+    Dispatch_endTicket(dispatch, &result.ticket);
+    Dispatch_endTicket(dispatch, &result.ticket);
+    Dispatch_reportRefusal(dispatch, &result.ticket);
+    ck_assert_int_eq(await_update(0)->state, WT__PLACE_STATE__BEGUN);
+    ck_assert_int_eq(await_update(1)->state, WT__PLACE_STATE__ENDED);
+    FakeRouters_run(&routers, NO_MESSAGE_MS);
+    ck_assert_uint_eq(count_messages(WT__PEER_MESSAGE__BODY_PLACE_NEWS), 2);
+    teardown();
 }
 END_TEST
 
-START_TEST(a_lost_question_is_given_up_and_its_ticket_ended)
+START_TEST(a_lost_query_times_out_and_its_ticket_is_ended)
 {
-    begin();
-    ck_assert_ptr_nonnull(ask(&told));
-    guint64 ticket = await_ask(0);
-    await_told(&told);
-    ck_assert_ptr_null(told.choice.upstream);
-    ck_assert_uint_eq(told.ticket.id, 0);
-    ck_assert_uint_eq(await_news(0)->ticket, ticket);
-    ck_assert_int_eq(await_news(0)->state, WT__PLACE_STATE__ENDED);
+    setup();
+    ck_assert_ptr_nonnull(query_dispatcher(&result));
+    guint64 ticket = await_query(0);
+    await_result(&result);
+    ck_assert_ptr_null(result.choice.upstream);
+    ck_assert_uint_eq(result.ticket.id, 0);
+    ck_assert_uint_eq(await_update(0)->ticket, ticket);
+    ck_assert_int_eq(await_update(0)->state, WT__PLACE_STATE__ENDED);
     ck_assert_uint_eq(
         Counters_value(routers.counters, "places_unanswered_total", NULL), 1);
-    end();
+    teardown();
 }
 END_TEST
 
-START_TEST(who_does_not_answer_is_not_asked_for_a_while)
+START_TEST(a_dispatcher_that_does_not_answer_is_not_queried_for_a_while)
 {
-    begin();
-    ck_assert_ptr_nonnull(ask(&told));
-    await_told(&told);
-    ck_assert_ptr_null(ask(&told_other));
-    FakeRouters_run(&routers, SILENCE_OVER_MS);
-    DispatchAsk_t *again = ask(&told_other);
+    setup();
+    ck_assert_ptr_nonnull(query_dispatcher(&result));
+    await_result(&result);
+    ck_assert_ptr_null(query_dispatcher(&other_result));
+    FakeRouters_run(&routers, BACKOFF_OVER_MS);
+    DispatchQuery_t *again = query_dispatcher(&other_result);
     ck_assert_ptr_nonnull(again);
-    Dispatch_cancel(again);
-    end();
+    Dispatch_cancelQuery(again);
+    teardown();
 }
 END_TEST
 
-START_TEST(a_late_answer_places_nothing_and_its_ticket_is_ended)
+START_TEST(a_late_answer_is_ignored_and_its_ticket_is_ended)
 {
-    begin();
-    ck_assert_ptr_nonnull(ask(&told));
-    guint64 ticket = await_ask(0);
-    await_told(&told);
-    answer(ticket, engine_at(3)->hash);
-    ck_assert_uint_eq(await_news(1)->ticket, ticket);
-    ck_assert_int_eq(await_news(1)->state, WT__PLACE_STATE__ENDED);
-    ck_assert_uint_eq(told.calls, 1);
-    ck_assert_ptr_null(told.choice.upstream);
-    end();
+    setup();
+    ck_assert_ptr_nonnull(query_dispatcher(&result));
+    guint64 ticket = await_query(0);
+    await_result(&result);
+    send_answer(ticket, engine_at(3)->hash);
+    ck_assert_uint_eq(await_update(1)->ticket, ticket);
+    ck_assert_int_eq(await_update(1)->state, WT__PLACE_STATE__ENDED);
+    ck_assert_uint_eq(result.calls, 1);
+    ck_assert_ptr_null(result.choice.upstream);
+    teardown();
 }
 END_TEST
 
-START_TEST(a_question_that_was_cancelled_is_never_answered)
+START_TEST(a_cancelled_query_does_not_call_back)
 {
-    begin();
-    DispatchAsk_t *asked = ask(&told);
-    guint64 ticket = await_ask(0);
-    Dispatch_cancel(asked);
-    answer(ticket, engine_at(3)->hash);
-    ck_assert_uint_eq(await_news(0)->ticket, ticket);
-    ck_assert_int_eq(await_news(1)->state, WT__PLACE_STATE__ENDED);
-    FakeRouters_run(&routers, 2 * DISPATCH_WAIT_MS);
-    ck_assert_uint_eq(told.calls, 0);
-    end();
+    setup();
+    DispatchQuery_t *query = query_dispatcher(&result);
+    guint64 ticket = await_query(0);
+    Dispatch_cancelQuery(query);
+    send_answer(ticket, engine_at(3)->hash);
+    ck_assert_uint_eq(await_update(0)->ticket, ticket);
+    ck_assert_int_eq(await_update(1)->state, WT__PLACE_STATE__ENDED);
+    FakeRouters_run(&routers, 2 * DISPATCH_TIMEOUT_MS);
+    ck_assert_uint_eq(result.calls, 0);
+    teardown();
 }
 END_TEST
 
-START_TEST(answers_in_the_wrong_order_reach_their_own_questions)
+START_TEST(reordered_answers_are_matched_to_their_queries)
 {
-    begin();
-    ask(&told);
-    ask(&told_other);
-    guint64 first = await_ask(0);
-    guint64 second = await_ask(1);
+    setup();
+    query_dispatcher(&result);
+    query_dispatcher(&other_result);
+    guint64 first = await_query(0);
+    guint64 second = await_query(1);
     ck_assert_uint_ne(first, second);
-    answer(second, engine_at(7)->hash);
-    answer(first, engine_at(3)->hash);
-    await_told(&told);
-    await_told(&told_other);
-    ck_assert_ptr_eq(told.choice.upstream, engine_at(3));
-    ck_assert_ptr_eq(told_other.choice.upstream, engine_at(7));
-    ck_assert_uint_eq(told.ticket.id, first);
-    ck_assert_uint_eq(told_other.ticket.id, second);
-    end();
+    send_answer(second, engine_at(7)->hash);
+    send_answer(first, engine_at(3)->hash);
+    await_result(&result);
+    await_result(&other_result);
+    ck_assert_ptr_eq(result.choice.upstream, engine_at(3));
+    ck_assert_ptr_eq(other_result.choice.upstream, engine_at(7));
+    ck_assert_uint_eq(result.ticket.id, first);
+    ck_assert_uint_eq(other_result.ticket.id, second);
+    teardown();
 }
 END_TEST
 
-START_TEST(an_answer_that_comes_twice_is_followed_once)
+START_TEST(a_second_answer_is_ignored)
 {
-    begin();
-    ask(&told);
-    guint64 ticket = await_ask(0);
-    answer(ticket, engine_at(3)->hash);
-    answer(ticket, engine_at(7)->hash);
-    await_told(&told);
-    FakeRouters_run(&routers, NOTHING_MS);
-    ck_assert_uint_eq(told.calls, 1);
-    ck_assert_ptr_eq(told.choice.upstream, engine_at(3));
-    end();
+    setup();
+    query_dispatcher(&result);
+    guint64 ticket = await_query(0);
+    send_answer(ticket, engine_at(3)->hash);
+    send_answer(ticket, engine_at(7)->hash);
+    await_result(&result);
+    FakeRouters_run(&routers, NO_MESSAGE_MS);
+    ck_assert_uint_eq(result.calls, 1);
+    ck_assert_ptr_eq(result.choice.upstream, engine_at(3));
+    teardown();
 }
 END_TEST
 
-START_TEST(an_engine_that_is_not_known_here_is_no_choice)
+START_TEST(an_answer_with_an_unknown_engine_gives_no_upstream)
 {
-    begin();
-    ask(&told);
-    answer(await_ask(0), 4711);
-    await_told(&told);
-    ck_assert_ptr_null(told.choice.upstream);
-    ck_assert_uint_ne(told.ticket.id, 0);
-    end();
+    setup();
+    query_dispatcher(&result);
+    send_answer(await_query(0), 4711);
+    await_result(&result);
+    ck_assert_ptr_null(result.choice.upstream);
+    ck_assert_uint_ne(result.ticket.id, 0);
+    teardown();
 }
 END_TEST
 
-START_TEST(an_answer_to_no_question_changes_nothing)
+START_TEST(an_answer_without_a_query_ends_its_ticket)
 {
-    begin();
-    answer(4711, engine_at(3)->hash);
-    ck_assert_uint_eq(await_news(0)->ticket, 4711);
-    ck_assert_int_eq(await_news(0)->state, WT__PLACE_STATE__ENDED);
-    end();
+    setup();
+    send_answer(4711, engine_at(3)->hash);
+    ck_assert_uint_eq(await_update(0)->ticket, 4711);
+    ck_assert_int_eq(await_update(0)->state, WT__PLACE_STATE__ENDED);
+    teardown();
 }
 END_TEST
 
-/* Symptom: a request went to another engine than the one that its dispatcher
- * counted it at.
- * Sequence: a question is duplicated on the way; it is answered twice, as the
- * first one has made the chosen engine busier, by two engines; the asker
- * follows whichever answer comes first, and ends the ticket at the other.
- * Cause: a ticket that is known was not counted again, but placed again.
- * Settled by: two answers of one ticket that name two engines. */
-START_TEST(a_question_that_comes_twice_is_answered_once)
-{
-    begin();
-    send_ask(9, TARGET, 0);
-    send_ask(9, TARGET, 0);
+/* Guards against two answers to one ticket that name different engines. The
+ * dispatcher placed a duplicated query again, and the load of the first
+ * placement changed the choice. If the second answer arrived first, the
+ * placement went to another engine than the one that counted it. */
+START_TEST(a_duplicate_query_is_answered_only_once)
+{
+    setup();
+    send_query(9, TARGET, 0);
+    send_query(9, TARGET, 0);
     ck_assert_uint_ne(await_answer(0)->upstream, 0);
-    FakeRouters_run(&routers, NOTHING_MS);
-    ck_assert_uint_eq(count(WT__PEER_MESSAGE__BODY_PLACE_ANSWER), 1);
-    ck_assert_uint_eq(tickets(), 1);
-    tell_news(9, WT__PLACE_STATE__ENDED);
+    FakeRouters_run(&routers, NO_MESSAGE_MS);
+    ck_assert_uint_eq(count_messages(WT__PEER_MESSAGE__BODY_PLACE_ANSWER), 1);
+    ck_assert_uint_eq(count_tickets(), 1);
+    send_update(9, WT__PLACE_STATE__ENDED);
     await_tickets(0);
-    end();
+    teardown();
 }
 END_TEST
 
-START_TEST(news_of_a_ticket_come_twice_and_in_the_wrong_order)
+START_TEST(duplicate_and_reordered_ticket_updates_are_ignored)
 {
-    begin();
-    send_ask(9, TARGET, 0);
-    Upstream_t *placed =
+    setup();
+    send_query(9, TARGET, 0);
+    Upstream_t *engine =
         UpstreamSet_findHash(routers.upstreams, await_answer(0)->upstream);
-    ck_assert_uint_eq(placed->ticket_requests, 1);
-    tell_news(9, WT__PLACE_STATE__ENDED);
-    tell_news(9, WT__PLACE_STATE__BEGUN);
-    tell_news(9, WT__PLACE_STATE__REFUSED);
-    tell_news(9, WT__PLACE_STATE__ENDED);
-    send_ask(10, TARGET, 0);
+    ck_assert_uint_eq(engine->ticket_requests, 1);
+    send_update(9, WT__PLACE_STATE__ENDED);
+    send_update(9, WT__PLACE_STATE__BEGUN);
+    send_update(9, WT__PLACE_STATE__REFUSED);
+    send_update(9, WT__PLACE_STATE__ENDED);
+    send_query(10, TARGET, 0);
     await_answer(1);
-    ck_assert_uint_eq(tickets(), 1);
-    ck_assert(Upstream_isUsable(placed, Clock_nowMs()));
-    tell_news(10, WT__PLACE_STATE__BEGUN);
-    tell_news(10, WT__PLACE_STATE__BEGUN);
-    tell_news(10, WT__PLACE_STATE__ENDED);
+    ck_assert_uint_eq(count_tickets(), 1);
+    ck_assert(Upstream_isUsable(engine, Clock_nowMs()));
+    send_update(10, WT__PLACE_STATE__BEGUN);
+    send_update(10, WT__PLACE_STATE__BEGUN);
+    send_update(10, WT__PLACE_STATE__ENDED);
     await_tickets(0);
     for (guint i = 0; i < ENGINES; i++) {
         ck_assert_uint_eq(engine_at(i)->ticket_tokens, 0);
     }
-    end();
+    teardown();
 }
 END_TEST
 
-START_TEST(an_engine_that_refused_is_left_alone_by_its_dispatcher)
+START_TEST(an_engine_that_refused_is_paused_by_the_dispatcher)
 {
-    begin();
-    send_ask(9, TARGET, 0);
+    setup();
+    send_query(9, TARGET, 0);
     guint64 first = await_answer(0)->upstream;
-    tell_news(9, WT__PLACE_STATE__REFUSED);
-    send_ask(10, TARGET, 0);
+    send_update(9, WT__PLACE_STATE__REFUSED);
+    send_query(10, TARGET, 0);
     ck_assert_uint_ne(await_answer(1)->upstream, first);
-    end();
+    teardown();
 }
 END_TEST
 
-START_TEST(what_nobody_serves_is_placed_nowhere)
+START_TEST(a_target_without_engines_is_not_placed)
 {
-    begin();
-    send_ask(9, "nobody's", 0);
+    setup();
+    send_query(9, "nobody's", 0);
     ck_assert_uint_eq(await_answer(0)->upstream, 0);
-    ck_assert_uint_eq(tickets(), 0);
-    send_ask(10, TARGET, 0);
+    ck_assert_uint_eq(count_tickets(), 0);
+    send_query(10, TARGET, 0);
     guint64 failed = await_answer(1)->upstream;
-    send_ask(11, TARGET, failed);
+    send_query(11, TARGET, failed);
     ck_assert_uint_ne(await_answer(2)->upstream, failed);
-    end();
+    teardown();
 }
 END_TEST
 
-TESTING_MAIN("Dispatch", an_answer_is_followed_and_its_ticket_ended_once,
-             a_lost_question_is_given_up_and_its_ticket_ended,
-             who_does_not_answer_is_not_asked_for_a_while,
-             a_late_answer_places_nothing_and_its_ticket_is_ended,
-             a_question_that_was_cancelled_is_never_answered,
-             answers_in_the_wrong_order_reach_their_own_questions,
-             an_answer_that_comes_twice_is_followed_once,
-             an_engine_that_is_not_known_here_is_no_choice,
-             an_answer_to_no_question_changes_nothing,
-             a_question_that_comes_twice_is_answered_once,
-             news_of_a_ticket_come_twice_and_in_the_wrong_order,
-             an_engine_that_refused_is_left_alone_by_its_dispatcher,
-             what_nobody_serves_is_placed_nowhere)
+TESTING_MAIN("Dispatch", an_answer_is_used_and_its_ticket_is_ended_once,
+             a_lost_query_times_out_and_its_ticket_is_ended,
+             a_dispatcher_that_does_not_answer_is_not_queried_for_a_while,
+             a_late_answer_is_ignored_and_its_ticket_is_ended,
+             a_cancelled_query_does_not_call_back,
+             reordered_answers_are_matched_to_their_queries,
+             a_second_answer_is_ignored,
+             an_answer_with_an_unknown_engine_gives_no_upstream,
+             an_answer_without_a_query_ends_its_ticket,
+             a_duplicate_query_is_answered_only_once,
+             duplicate_and_reordered_ticket_updates_are_ignored,
+             an_engine_that_refused_is_paused_by_the_dispatcher,
+             a_target_without_engines_is_not_placed)
--- a/tests/test_Tickets.c
+++ b/tests/test_Tickets.c
@@ -15,7 +15,7 @@
 static Policy_t *policy;
 
 static void
-begin(void)
+setup(void)
 {
     UpstreamSpec_t spec = {.hall = g_string_new("h"),
                            .region = g_string_new("r"),
@@ -31,7 +31,7 @@
 }
 
 static void
-end(void)
+teardown(void)
 {
     Tickets_destroy(tickets);
     ck_assert_uint_eq(upstream->ticket_tokens, 0);
@@ -42,7 +42,7 @@
 }
 
 static void
-add(guint64 id)
+add_ticket(guint64 id)
 {
     Placement_t placement = {.level_count = 2,
                              .levels = {PREFIX, 1},
@@ -53,83 +53,82 @@
     Tickets_add(tickets, id, &placement, &choice);
 }
 
-START_TEST(a_ticket_counts_until_it_ends)
+START_TEST(a_ticket_adds_to_the_load_until_it_ends)
 {
-    begin();
-    add(1);
-    add(2);
-    add(2);
+    setup();
+    add_ticket(1);
+    add_ticket(2);
+    add_ticket(2);
     ck_assert_uint_eq(upstream->ticket_tokens, 6000);
     ck_assert_uint_eq(upstream->ticket_requests, 2);
-    Tickets_begin(tickets, 1, policy, 0, NOW_MS);
-    Tickets_begin(tickets, 1, policy, 0, NOW_MS);
+    Tickets_noteFirstToken(tickets, 1, policy, 0, NOW_MS);
+    Tickets_noteFirstToken(tickets, 1, policy, 0, NOW_MS);
     ck_assert_uint_eq(upstream->ticket_tokens, 3000);
     ck_assert_uint_eq(upstream->ticket_requests, 2);
     Tickets_end(tickets, 1);
     Tickets_end(tickets, 1);
     ck_assert_uint_eq(upstream->ticket_tokens, 3000);
     ck_assert_uint_eq(upstream->ticket_requests, 1);
-    end();
+    teardown();
 }
 END_TEST
 
-START_TEST(what_is_not_heard_of_again_lapses)
+START_TEST(a_ticket_without_updates_expires)
 {
-    begin();
-    add(1);
-    add(2);
-    Tickets_begin(tickets, 2, policy, 0, NOW_MS);
-    Tickets_expire(tickets, NOW_MS + TICKET_BEGIN_MS - 1);
+    setup();
+    add_ticket(1);
+    add_ticket(2);
+    Tickets_noteFirstToken(tickets, 2, policy, 0, NOW_MS);
+    Tickets_expire(tickets, NOW_MS + TICKET_FIRST_TOKEN_TIMEOUT_MS - 1);
     ck_assert_uint_eq(upstream->ticket_requests, 2);
-    Tickets_expire(tickets, NOW_MS + TICKET_BEGIN_MS);
+    Tickets_expire(tickets, NOW_MS + TICKET_FIRST_TOKEN_TIMEOUT_MS);
     ck_assert_uint_eq(upstream->ticket_requests, 1);
-    Tickets_expire(tickets, NOW_MS + TICKET_END_MS);
+    Tickets_expire(tickets, NOW_MS + TICKET_TIMEOUT_MS);
     ck_assert_uint_eq(upstream->ticket_requests, 0);
-    end();
+    teardown();
 }
 END_TEST
 
-START_TEST(a_refusal_leaves_the_upstream_alone_for_a_moment)
+START_TEST(a_refusal_pauses_the_upstream)
 {
-    begin();
-    add(1);
-    Tickets_refused(tickets, 1, NOW_MS);
+    setup();
+    add_ticket(1);
+    Tickets_noteRefusal(tickets, 1, NOW_MS);
     ck_assert_uint_eq(upstream->ticket_requests, 0);
     ck_assert(!Upstream_isUsable(upstream, NOW_MS));
     ck_assert(Upstream_isUsable(upstream, NOW_MS + UPSTREAM_SHED_PAUSE_MS));
-    Tickets_refused(tickets, 7, NOW_MS);
-    end();
+    Tickets_noteRefusal(tickets, 7, NOW_MS);
+    teardown();
 }
 END_TEST
 
-/* By Clock_hold() time passes as the test says. */
-START_TEST(how_long_requests_run_is_learned_from_those_that_ended)
+/* Clock_hold() sets the time. */
+START_TEST(run_time_is_learned_from_requests_that_ended)
 {
-    begin();
+    setup();
     Clock_hold(NOW_MS * CLOCK_US_PER_MS);
-    add(1);
-    add(2);
-    Tickets_begin(tickets, 1, policy, 0, NOW_MS);
+    add_ticket(1);
+    add_ticket(2);
+    Tickets_noteFirstToken(tickets, 1, policy, 0, NOW_MS);
     Clock_hold((NOW_MS + 700) * CLOCK_US_PER_MS);
     Tickets_end(tickets, 2);
     ck_assert(upstream->run_us == 0);
     Tickets_end(tickets, 1);
     ck_assert(upstream->run_us == 700 * CLOCK_US_PER_MS);
     Clock_hold(0);
-    end();
+    teardown();
 }
 END_TEST
 
-START_TEST(tickets_may_be_open_at_the_end)
+START_TEST(tickets_may_be_open_at_destruction)
 {
-    begin();
-    add(1);
-    end();
+    setup();
+    add_ticket(1);
+    teardown();
 }
 END_TEST
 
-TESTING_MAIN("Tickets", a_ticket_counts_until_it_ends,
-             what_is_not_heard_of_again_lapses,
-             a_refusal_leaves_the_upstream_alone_for_a_moment,
-             how_long_requests_run_is_learned_from_those_that_ended,
-             tickets_may_be_open_at_the_end)
+TESTING_MAIN("Tickets", a_ticket_adds_to_the_load_until_it_ends,
+             a_ticket_without_updates_expires, a_refusal_pauses_the_upstream,
+             run_time_is_learned_from_requests_that_ended,
+             tickets_may_be_open_at_destruction)
--- a/tests/test_UpstreamProber.c
+++ b/tests/test_UpstreamProber.c
@@ -180,8 +180,8 @@
     FakeRouters_await(&routers, is_reached);
     FakeRouters_run(&routers, LOOKS_MS);
     ck_assert_uint_eq(asked, 1);
-    ck_assert_uint_eq(hints_told(1, HINT_UNREACHED), 1);
-    ck_assert_uint_eq(hints_told(1, HINT_REACHED), 1);
+    ck_assert_uint_eq(hints_told(1, HINT_UNREACHABLE), 1);
+    ck_assert_uint_eq(hints_told(1, HINT_REACHABLE), 1);
     end();
 }
 END_TEST
@@ -199,7 +199,7 @@
     evhttp_send_reply(held, HTTP_OK, NULL, NULL);
     FakeRouters_await(&routers, is_reached);
     FakeRouters_run(&routers, LOOKS_MS);
-    ck_assert_uint_eq(hints_told(1, HINT_UNREACHED), 1);
+    ck_assert_uint_eq(hints_told(1, HINT_UNREACHABLE), 1);
     end();
 }
 END_TEST
