--- a/src/RelayAnswer.c
+++ b/src/RelayAnswer.c
@@ -15,24 +15,25 @@
     GString *id;
     const char *id_header;
     gsize buffer_max;
-    int status; /* of the head that is set, 0 for none */
+    int status; /* from RelayAnswer_setHead(), 0 before */
     guint retry_after_ms;
-    gboolean begun;
+    gboolean head_sent;
     gboolean full;
 };
 
-/* Of one connection only; evhttp frames our own answer by itself. */
-static const char *const of_connection[] = {
+/* Headers that concern a single connection and are not forwarded; evhttp
+ * frames the answer to the caller itself. */
+static const char *const hop_by_hop_headers[] = {
     "Connection",         "Keep-Alive",     "Proxy-Connection",
     "Proxy-Authenticate", "Trailer",        "Upgrade",
     "Transfer-Encoding",  "Content-Length", "TE",
 };
 
 static gboolean
-is_of_connection(const char *name)
+is_hop_by_hop(const char *name)
 {
-    for (gsize i = 0; i < G_N_ELEMENTS(of_connection); i++) {
-        if (g_ascii_strcasecmp(of_connection[i], name) == 0) {
+    for (gsize i = 0; i < G_N_ELEMENTS(hop_by_hop_headers); i++) {
+        if (g_ascii_strcasecmp(hop_by_hop_headers[i], name) == 0) {
             return TRUE;
         }
     }
@@ -46,16 +47,16 @@
 }
 
 static struct evkeyvalq *
-out_headers(const RelayAnswer_t *this)
+output_headers(const RelayAnswer_t *this)
 {
     return evhttp_request_get_output_headers(RelayAnswer_request(this));
 }
 
 static void
-on_left(void *owner)
+on_caller_left(void *owner)
 {
     const RelayAnswer_t *this = owner;
-    this->events->left(this->owner);
+    this->events->caller_left(this->owner);
 }
 
 RelayAnswer_t *
@@ -68,7 +69,8 @@
     this->id = g_string_new(spec->id);
     this->id_header = spec->id_header;
     this->buffer_max = spec->buffer_max;
-    this->watch = CallerWatch_create(base, spec->request, on_left, this);
+    this->watch =
+        CallerWatch_create(base, spec->request, on_caller_left, this);
     return this;
 }
 
@@ -84,16 +86,16 @@
 }
 
 gboolean
-RelayAnswer_isBegun(const RelayAnswer_t *this)
+RelayAnswer_isHeadSent(const RelayAnswer_t *this)
 {
-    return this->begun;
+    return this->head_sent;
 }
 
 void
 RelayAnswer_setClosing(RelayAnswer_t *this)
 {
-    struct evkeyvalq *out = out_headers(this);
-    if (!this->begun && !evhttp_find_header(out, "Connection")) {
+    struct evkeyvalq *out = output_headers(this);
+    if (!this->head_sent && !evhttp_find_header(out, "Connection")) {
         evhttp_add_header(out, "Connection", "close");
     }
 }
@@ -102,26 +104,26 @@
 RelayAnswer_setHead(RelayAnswer_t *this, int status,
                     const struct evkeyvalq *headers)
 {
-    if (this->begun || !RelayAnswer_request(this)) {
+    if (this->head_sent || !RelayAnswer_request(this)) {
         return;
     }
-    struct evkeyvalq *out = out_headers(this);
+    struct evkeyvalq *out = output_headers(this);
     const struct evkeyval *header = NULL;
     this->status = status;
     evhttp_clear_headers(out);
     TAILQ_FOREACH(header, headers, next)
     {
-        if (!is_of_connection(header->key)) {
+        if (!is_hop_by_hop(header->key)) {
             evhttp_add_header(out, header->key, header->value);
         }
     }
 }
 
 static void
-begin(RelayAnswer_t *this)
+send_head(RelayAnswer_t *this)
 {
-    if (!this->begun) {
-        this->begun = TRUE;
+    if (!this->head_sent) {
+        this->head_sent = TRUE;
         evhttp_send_reply_start(RelayAnswer_request(this), this->status, NULL);
     }
 }
@@ -138,23 +140,23 @@
 }
 
 static gsize
-waiting_bytes(struct evhttp_connection *connection)
+buffered_bytes(struct evhttp_connection *connection)
 {
     struct bufferevent *stream = evhttp_connection_get_bufferevent(connection);
     return evbuffer_get_length(bufferevent_get_output(stream));
 }
 
 void
-RelayAnswer_send(RelayAnswer_t *this, struct evbuffer *data)
+RelayAnswer_sendData(RelayAnswer_t *this, struct evbuffer *data)
 {
     struct evhttp_connection *connection = CallerWatch_connection(this->watch);
     if (!connection || evbuffer_get_length(data) == 0) {
         return;
     }
-    begin(this);
-    /* Each chunk takes the place of the one before as what is told of, so that
-     * a stream that is held back would stay so. */
-    if (this->full || waiting_bytes(connection) > this->buffer_max) {
+    send_head(this);
+    /* evhttp keeps the callback of the last chunk only: a chunk without one
+     * would drop on_drained, and the stream would stay paused. */
+    if (this->full || buffered_bytes(connection) > this->buffer_max) {
         this->full = TRUE;
         evhttp_send_reply_chunk_with_cb(RelayAnswer_request(this), data,
                                         on_drained, this);
@@ -165,24 +167,24 @@
 }
 
 void
-RelayAnswer_finish(RelayAnswer_t *this)
+RelayAnswer_finishStream(RelayAnswer_t *this)
 {
     if (!RelayAnswer_request(this)) {
         return;
     }
-    begin(this);
+    send_head(this);
     struct evhttp_request *request = CallerWatch_end(this->watch);
     PendingReply_watch(request);
     evhttp_send_reply_end(request);
 }
 
 void
-RelayAnswer_whole(RelayAnswer_t *this, struct evbuffer *body)
+RelayAnswer_sendComplete(RelayAnswer_t *this, struct evbuffer *body)
 {
     if (!RelayAnswer_request(this)) {
         return;
     }
-    this->begun = TRUE;
+    this->head_sent = TRUE;
     struct evhttp_request *request = CallerWatch_end(this->watch);
     PendingReply_watch(request);
     evhttp_send_reply(request, this->status, NULL, body);
@@ -195,16 +197,17 @@
     if (!RelayAnswer_request(this)) {
         return;
     }
-    if (this->begun) {
+    if (this->head_sent) {
         CallerWatch_cut(this->watch);
         return;
     }
     gboolean closing =
-        evhttp_find_header(out_headers(this), "Connection") != NULL;
+        evhttp_find_header(output_headers(this), "Connection") != NULL;
     struct evhttp_request *request = CallerWatch_end(this->watch);
     evhttp_clear_headers(evhttp_request_get_output_headers(request));
-    RelayRefusal_t how = {refusal, run, detail, this->retry_after_ms, closing};
-    Relay_refuse(request, this->id_header, this->id->str, &how);
+    RelayRefusal_t params = {refusal, run, detail, this->retry_after_ms,
+                             closing};
+    Relay_refuse(request, this->id_header, this->id->str, &params);
 }
 
 void
@@ -219,10 +222,10 @@
     return this->full;
 }
 
-/* A status of 503 promises that the request did not run; 502 and 504 promise
- * nothing. */
+/* 503 tells the caller that the request did not run; 502 and 504 leave that
+ * open. */
 static int
-status_of(const RefusalSpec_t *spec, RunState_t run)
+select_status(const RefusalSpec_t *spec, RunState_t run)
 {
     if (spec->status < HTTP_INTERNAL && spec->status != 429) {
         return spec->status;
@@ -236,34 +239,35 @@
 static void
 add_retry_after(struct evkeyvalq *headers, guint retry_after_ms)
 {
-    g_autofree char *wait = g_strdup_printf("%u.%03u", retry_after_ms / 1000,
-                                            retry_after_ms % 1000);
-    evhttp_add_header(headers, "Retry-After", wait);
+    g_autofree char *seconds = g_strdup_printf(
+        "%u.%03u", retry_after_ms / 1000, retry_after_ms % 1000);
+    evhttp_add_header(headers, "Retry-After", seconds);
 }
 
 void
 Relay_refuse(struct evhttp_request *request, const char *id_header,
-             const char *id, const RelayRefusal_t *how)
+             const char *id, const RelayRefusal_t *params)
 {
-    const RefusalSpec_t *spec = Refusal_spec(how->refusal);
+    const RefusalSpec_t *spec = Refusal_spec(params->refusal);
     struct evkeyvalq *headers = evhttp_request_get_output_headers(request);
     evhttp_add_header(headers, "Content-Type", "application/json");
     if (id) {
         evhttp_add_header(headers, id_header, id);
     }
-    if (how->closing) {
+    if (params->closing) {
         evhttp_add_header(headers, "Connection", "close");
     }
-    if (spec->retry_after_ms > 0 && how->run == RUN_NOT) {
-        add_retry_after(headers, how->retry_after_ms > 0
-                                     ? how->retry_after_ms
+    if (spec->retry_after_ms > 0 && params->run == RUN_NOT) {
+        add_retry_after(headers, params->retry_after_ms > 0
+                                     ? params->retry_after_ms
                                      : spec->retry_after_ms);
     }
-    GString *text = Refusal_body(how->refusal, how->run, how->detail);
+    GString *text = Refusal_body(params->refusal, params->run, params->detail);
     struct evbuffer *body = evbuffer_new();
     evbuffer_add(body, text->str, text->len);
     PendingReply_watch(request);
-    evhttp_send_reply(request, status_of(spec, how->run), spec->code, body);
+    evhttp_send_reply(request, select_status(spec, params->run), spec->code,
+                      body);
     evbuffer_free(body);
     g_string_free(text, TRUE);
 }
--- a/src/RelayAnswer.h
+++ b/src/RelayAnswer.h
@@ -3,9 +3,10 @@
 /**
  * DOC: RelayAnswer
  *
- * The caller's side of a relayed request: an upstream's status, headers and
- * body go to the caller unchanged, whole or as a stream. An answer that ends
- * early is cut, so that it never looks complete.
+ * The caller's side of a relayed request: forwards an upstream's status,
+ * headers and body to the caller unchanged, as a complete answer or as a
+ * stream. When an answer fails after its head was sent, the connection is
+ * closed, so that a truncated answer never looks complete.
  */
 #include <event2/buffer.h>
 #include <event2/http.h>
@@ -13,21 +14,22 @@
 #include "Refusal.h"
 
 /**
- * struct RelayAnswerEvents_t - what an answer tells its owner
- * @left: the caller is gone
- * @drained: a slow caller has read what waited for it
+ * struct RelayAnswerEvents_t - callbacks to the owner of an answer
+ * @caller_left: the caller closed the connection
+ * @drained: a slow caller has read the data that was buffered for it
  */
 typedef struct {
-    void (*left)(void *owner);
+    void (*caller_left)(void *owner);
     void (*drained)(void *owner);
 } RelayAnswerEvents_t;
 
 /**
- * struct RelayAnswerSpec_t - an admitted request
- * @request: of evhttp
- * @id: its id
- * @id_header: header that carries it
- * @buffer_max: bytes that may wait for a slow caller
+ * struct RelayAnswerSpec_t - parameters of RelayAnswer_create()
+ * @request: the caller's evhttp request
+ * @id: request id
+ * @id_header: response header that carries @id
+ * @buffer_max: bytes that may be buffered for a slow caller before
+ *     RelayAnswer_isFull() holds
  */
 typedef struct {
     struct evhttp_request *request;
@@ -39,59 +41,68 @@
 /** struct RelayAnswer_t - opaque */
 typedef struct RelayAnswer RelayAnswer_t;
 
-/** RelayAnswer_create() - start to watch the caller */
+/** RelayAnswer_create() - create an answer and watch the caller's connection
+ */
 RelayAnswer_t *RelayAnswer_create(struct event_base *base,
                                   const RelayAnswerSpec_t *spec,
                                   const RelayAnswerEvents_t *events,
                                   void *owner);
 
-/** RelayAnswer_destroy() - free it; cuts an answer that has not ended */
+/** RelayAnswer_destroy() - free the answer; closes the caller's connection if
+ * the answer has not ended */
 void RelayAnswer_destroy(RelayAnswer_t *this);
 
-/** RelayAnswer_request() - the caller's request, or NULL once it is gone */
+/** RelayAnswer_request() - the caller's request, or NULL once the caller left
+ * or the answer has ended */
 struct evhttp_request *RelayAnswer_request(const RelayAnswer_t *this);
 
-/** RelayAnswer_isBegun() - whether the caller has a head */
-gboolean RelayAnswer_isBegun(const RelayAnswer_t *this);
+/** RelayAnswer_isHeadSent() - whether the status and headers were sent to the
+ * caller */
+gboolean RelayAnswer_isHeadSent(const RelayAnswer_t *this);
 
-/** RelayAnswer_setClosing() - the connection is to end with this answer */
+/** RelayAnswer_setClosing() - close the caller's connection after this answer;
+ * no effect once the head was sent */
 void RelayAnswer_setClosing(RelayAnswer_t *this);
 
 /**
- * RelayAnswer_setHead() - the head of an upstream's answer, for later
+ * RelayAnswer_setHead() - store the status and headers of an upstream's answer
  *
- * Those of an attempt before are forgotten; one that the caller has stays.
+ * They are sent with the first data. They replace the head of an earlier
+ * attempt, unless that was sent to the caller already.
  */
 void RelayAnswer_setHead(RelayAnswer_t *this, int status,
                          const struct evkeyvalq *headers);
 
-/** RelayAnswer_send() - bytes of a stream; sends the head first */
-void RelayAnswer_send(RelayAnswer_t *this, struct evbuffer *data);
+/** RelayAnswer_sendData() - send part of a stream, after the head if that was
+ * not sent yet */
+void RelayAnswer_sendData(RelayAnswer_t *this, struct evbuffer *data);
 
-/** RelayAnswer_finish() - the stream is whole */
-void RelayAnswer_finish(RelayAnswer_t *this);
+/** RelayAnswer_finishStream() - end a stream that is complete */
+void RelayAnswer_finishStream(RelayAnswer_t *this);
 
-/** RelayAnswer_whole() - head and body at once */
-void RelayAnswer_whole(RelayAnswer_t *this, struct evbuffer *body);
+/** RelayAnswer_sendComplete() - send the head and the complete body */
+void RelayAnswer_sendComplete(RelayAnswer_t *this, struct evbuffer *body);
 
-/** RelayAnswer_setRetryAfter() - when to come back, if it is refused, in ms;
- * where it is not said, that of the reason holds */
+/** RelayAnswer_setRetryAfter() - set the Retry-After of a later refusal, in
+ * ms; the default of the refusal's reason applies otherwise */
 void RelayAnswer_setRetryAfter(RelayAnswer_t *this, guint retry_after_ms);
 
-/** RelayAnswer_refuse() - our own answer, or a cut where a head went out */
+/** RelayAnswer_refuse() - answer with a refusal, or close the connection if
+ * the head was sent already */
 void RelayAnswer_refuse(RelayAnswer_t *this, Refusal_t refusal, RunState_t run,
                         const char *detail);
 
-/** RelayAnswer_isFull() - more waits for the caller than it may */
+/** RelayAnswer_isFull() - whether more than buffer_max bytes wait for the
+ * caller; @drained is called once they are written */
 gboolean RelayAnswer_isFull(const RelayAnswer_t *this);
 
 /**
- * struct RelayRefusal_t - how a request is refused
+ * struct RelayRefusal_t - parameters of a refusal
  * @refusal: the reason
- * @run: what is known of it
- * @detail: more about this case, or NULL
- * @retry_after_ms: when to come back; 0 for that of the reason
- * @closing: the connection is to end with this answer
+ * @run: whether the request may have run at an upstream
+ * @detail: text about this case, or NULL
+ * @retry_after_ms: value of Retry-After; 0 for the default of the reason
+ * @closing: close the connection after this answer
  */
 typedef struct {
     Refusal_t refusal;
@@ -102,11 +113,11 @@
 } RelayRefusal_t;
 
 /**
- * Relay_refuse() - refuse a request that no exchange was made for
- * @id_header: names the request in the answer
- * @id: the request's, or NULL
+ * Relay_refuse() - refuse a request that has no exchange
+ * @id_header: response header that carries @id
+ * @id: request id, or NULL
  */
 void Relay_refuse(struct evhttp_request *request, const char *id_header,
-                  const char *id, const RelayRefusal_t *how);
+                  const char *id, const RelayRefusal_t *params);
 
 #endif
--- a/src/RelayApi.c
+++ b/src/RelayApi.c
@@ -9,7 +9,7 @@
 #include "RelayAnswer.h"
 #include "RelayExchange.h"
 
-/* One request while it is looked at. */
+/* State of one request during admission. */
 typedef struct {
     Context_t *context;
     struct evhttp_request *http;
@@ -32,7 +32,7 @@
            UpstreamListing_isKnown(context->listing);
 }
 
-/* Whether new connections are welcome. */
+/* Whether the load balancer should send new connections to this router. */
 static gboolean
 is_ready(const Context_t *context)
 {
@@ -41,7 +41,7 @@
 }
 
 static void
-refuse(Admission_t *admission, Refusal_t refusal, const char *detail)
+refuse_request(Admission_t *admission, Refusal_t refusal, const char *detail)
 {
     Context_t *context = admission->context;
     const RelayCallerForm_t *form = context->form->caller;
@@ -50,8 +50,8 @@
                          admission->route ? admission->route->name->str
                                           : "none",
                          "none", detail);
-    RelayRefusal_t how = {refusal, RUN_NOT, detail, 0, context->stopping};
-    Relay_refuse(admission->http, form->id_header, id, &how);
+    RelayRefusal_t params = {refusal, RUN_NOT, detail, 0, context->stopping};
+    Relay_refuse(admission->http, form->id_header, id, &params);
     form->clear_request(&admission->request);
 }
 
@@ -59,16 +59,16 @@
 refuse_stale(Admission_t *admission)
 {
     g_autofree char *detail = RouteTable_describe(admission->context->routes);
-    refuse(admission, REFUSAL_CONFIG_STALE, detail);
+    refuse_request(admission, REFUSAL_CONFIG_STALE, detail);
 }
 
-/* Where a newer configuration may exist, nobody can say that a route or a
- * key is unknown. */
+/* With a stale configuration the route or key may exist in a newer one, so the
+ * request is refused as stale rather than as unknown. */
 static void
 refuse_unknown(Admission_t *admission, Refusal_t refusal)
 {
     if (is_fresh(admission->context)) {
-        refuse(admission, refusal, NULL);
+        refuse_request(admission, refusal, NULL);
     }
     else {
         refuse_stale(admission);
@@ -91,8 +91,8 @@
 check_key(Admission_t *admission, const RouteConfig_t *config)
 {
     const char *key = admission->request.key;
-    gboolean keyed = config->customers->len > 0;
-    if (!admission->route->needs_key || !keyed) {
+    gboolean has_customers = config->customers->len > 0;
+    if (!admission->route->needs_key || !has_customers) {
         return TRUE;
     }
     admission->customer = key ? RouteConfig_findCustomer(config, key) : NULL;
@@ -108,12 +108,13 @@
 }
 
 static void
-start(Admission_t *admission, RouteConfig_t *config)
+start_exchange(Admission_t *admission, RouteConfig_t *config)
 {
     const char *service =
         Route_pickTarget(admission->route, Random_below(G_MAXINT32));
     if (!service) {
-        refuse(admission, REFUSAL_NO_UPSTREAM, "The route has no service.");
+        refuse_request(admission, REFUSAL_NO_UPSTREAM,
+                       "The route has no service.");
         return;
     }
     RelayExchangeSpec_t spec = {
@@ -128,33 +129,33 @@
 }
 
 static void
-admit(Admission_t *admission)
+admit_request(Admission_t *admission)
 {
     Context_t *context = admission->context;
     RouteConfig_t *config = RouteTable_config(context->routes);
     if (!config) {
-        refuse(admission, REFUSAL_NOT_CONFIGURED, NULL);
+        refuse_request(admission, REFUSAL_NOT_CONFIGURED, NULL);
         return;
     }
     if (context->refusing) {
-        refuse(admission, REFUSAL_STOPPING, NULL);
+        refuse_request(admission, REFUSAL_STOPPING, NULL);
         return;
     }
     if (find_route(admission, config) && check_key(admission, config)) {
-        start(admission, config);
+        start_exchange(admission, config);
     }
 }
 
-/* Both at once is how one request is hidden inside another. */
+/* A request with both headers can be used for request smuggling. */
 static gboolean
-is_ambiguous(struct evhttp_request *request)
+has_ambiguous_length(struct evhttp_request *request)
 {
     struct evkeyvalq *headers = evhttp_request_get_input_headers(request);
     return evhttp_find_header(headers, "Transfer-Encoding") &&
            evhttp_find_header(headers, "Content-Length");
 }
 
-/* An id with a control character is repeated nowhere. */
+/* An id with a control character is left out of the answer and the log. */
 static gboolean
 check_headers(Admission_t *admission)
 {
@@ -170,7 +171,7 @@
         strcmp(name, form->id_header) == 0) {
         admission->request.id = NULL;
     }
-    refuse(admission, refusal, name);
+    refuse_request(admission, refusal, name);
     return FALSE;
 }
 
@@ -189,16 +190,16 @@
         return;
     }
     if (!is_read) {
-        refuse(&admission, REFUSAL_BAD_HEADER, error->message);
+        refuse_request(&admission, REFUSAL_BAD_HEADER, error->message);
         return;
     }
-    if (is_ambiguous(request)) {
-        refuse(&admission, REFUSAL_BAD_HEADER,
-               "The body's length is given "
-               "twice.");
+    if (has_ambiguous_length(request)) {
+        refuse_request(&admission, REFUSAL_BAD_HEADER,
+                       "The body's length is given "
+                       "twice.");
         return;
     }
-    admit(&admission);
+    admit_request(&admission);
 }
 
 void
--- a/src/RelayAttempt.c
+++ b/src/RelayAttempt.c
@@ -8,19 +8,19 @@
 #include "AttemptConnection.h"
 #include "Clock.h"
 
-/* An upstream that lost its power or its link says nothing: what it does not
- * acknowledge within this time ends the connection. Several round trips of a
- * region and one repeated segment fit into it. */
-#define UNACKNOWLEDGED_MS 1000
-/* Probes of a silent connection: after so many seconds, so often. */
-#define PROBE_AFTER_S 1
-#define PROBE_EVERY_S 1
-#define PROBES 2
+/* TCP_USER_TIMEOUT: an upstream that lost power or its network link closes no
+ * connection, so unacknowledged data ends it after this time. Long enough for
+ * several round trips within a region and one retransmission. */
+#define UNACKNOWLEDGED_MAX_MS 1000
+/* TCP keepalive of a connection without traffic. */
+#define KEEPALIVE_IDLE_S 1
+#define KEEPALIVE_INTERVAL_S 1
+#define KEEPALIVE_PROBES_MAX 2
 
-/* A silent upstream that is not given up is looked at again after so long. */
-#define ASK_AGAIN_MS 100
-/* The watch is not armed for less while there is time left. */
-#define WATCH_LEAST_MS 100
+/* Interval between calls of @silent while the owner answers SILENCE_WAIT. */
+#define SILENCE_RECHECK_MS 100
+/* Shortest period of the watch timer while time is left. */
+#define WATCH_MIN_MS 100
 
 struct RelayAttempt {
     AttemptConnection_t connection;
@@ -29,7 +29,7 @@
     void *owner;
     GString *request_id;
     RelayHead_t head;
-    AttemptEnd_t verdict; /* once the body is whole */
+    AttemptEnd_t expected_end; /* if the body is complete */
     gboolean has_head;
 };
 
@@ -63,22 +63,22 @@
 }
 
 static gboolean
-says_not_run(const RelayAttempt_t *this)
+is_not_run(const RelayAttempt_t *this)
 {
-    return this->has_head && this->verdict == ATTEMPT_NOT_RUN;
+    return this->has_head && this->expected_end == ATTEMPT_NOT_RUN;
 }
 
 static void
-take_step(RelayAttempt_t *this, SilenceStep_t step)
+apply_silence_action(RelayAttempt_t *this, SilenceAction_t action)
 {
-    if (step == SILENCE_GIVE_UP) {
+    if (action == SILENCE_GIVE_UP) {
         end_attempt(this, ATTEMPT_SILENT);
     }
-    else if (step == SILENCE_TAKE_BACK) {
+    else if (action == SILENCE_TAKE_BACK) {
         end_attempt(this, ATTEMPT_TAKEN_BACK);
     }
     else {
-        Clock_arm(this->connection.watch, ASK_AGAIN_MS);
+        Clock_arm(this->connection.watch, SILENCE_RECHECK_MS);
     }
 }
 
@@ -99,17 +99,17 @@
     }
     gint64 left_ms = AttemptConnection_leftMs(connection);
     if (left_ms > 0 || connection->held) {
-        Clock_arm(connection->watch, MAX(left_ms, WATCH_LEAST_MS));
+        Clock_arm(connection->watch, MAX(left_ms, WATCH_MIN_MS));
         return;
     }
-    if (says_not_run(this)) {
+    if (is_not_run(this)) {
         end_attempt(this, ATTEMPT_NOT_RUN);
     }
     else if (!connection->sent) {
         end_attempt(this, ATTEMPT_NOT_SENT);
     }
     else {
-        take_step(this, this->events->silent(this->owner));
+        apply_silence_action(this, this->events->silent(this->owner));
     }
 }
 
@@ -122,19 +122,20 @@
         return;
     }
     this->connection.last_heard_ms = Clock_nowMs();
-    if (!this->has_head || says_not_run(this)) {
+    if (!this->has_head || is_not_run(this)) {
         return;
     }
     AttemptConnection_noteData(&this->connection);
     this->events->data(this->owner, input);
 }
 
-/* A success needs the upstream's signature; a body under an encoding that
- * nobody asked for is not its own. */
+/* A successful answer must carry the upstream's signature. This router
+ * requests no Content-Encoding, so an encoded body does not come from the
+ * upstream. */
 static AttemptEnd_t
-verdict_of(const RelayHead_t *head, const struct evkeyvalq *headers)
+classify_head(const RelayHead_t *head, const struct evkeyvalq *headers)
 {
-    if (!head->names_request) {
+    if (!head->matches_request) {
         return ATTEMPT_MISMATCH;
     }
     if (head->not_run) {
@@ -143,8 +144,8 @@
     if (head->status >= HTTP_INTERNAL) {
         return ATTEMPT_FAILED;
     }
-    gboolean good = head->sealed || head->status >= HTTP_MOVEPERM;
-    return good && !evhttp_find_header(headers, "Content-Encoding")
+    gboolean is_trusted = head->has_signature || head->status >= HTTP_MOVEPERM;
+    return is_trusted && !evhttp_find_header(headers, "Content-Encoding")
                ? ATTEMPT_WHOLE
                : ATTEMPT_BAD_ANSWER;
 }
@@ -163,27 +164,28 @@
     this->form->read_head(evhttp_request_get_response_code(request), headers,
                           this->request_id->str,
                           this->connection.upstream->name->str, &this->head);
-    this->verdict = verdict_of(&this->head, headers);
+    this->expected_end = classify_head(&this->head, headers);
     this->has_head = TRUE;
-    if (this->head.names_request) {
+    if (this->head.matches_request) {
         this->events->answered(this->owner, &this->head);
     }
     if (this->connection.over) {
         return 0;
     }
-    if (this->verdict == ATTEMPT_MISMATCH ||
-        this->verdict == ATTEMPT_BAD_ANSWER) {
-        end_attempt(this, this->verdict);
+    if (this->expected_end == ATTEMPT_MISMATCH ||
+        this->expected_end == ATTEMPT_BAD_ANSWER) {
+        end_attempt(this, this->expected_end);
     }
-    else if (this->verdict != ATTEMPT_NOT_RUN) {
+    else if (this->expected_end != ATTEMPT_NOT_RUN) {
         this->events->head(this->owner, &this->head, headers);
     }
     return 0;
 }
 
-/* Bytes behind a whole answer belong to no request. */
+/* Bytes after a complete answer belong to no request, so the connection must
+ * not be reused. */
 static gboolean
-has_surplus(const RelayAttempt_t *this)
+has_trailing_bytes(const RelayAttempt_t *this)
 {
     struct bufferevent *stream = AttemptConnection_stream(&this->connection);
     return evbuffer_get_length(bufferevent_get_input(stream)) > 0;
@@ -197,8 +199,8 @@
     if (this->connection.over) {
         return;
     }
-    if (says_not_run(this)) {
-        this->connection.keep = status != 0 && !has_surplus(this);
+    if (is_not_run(this)) {
+        this->connection.keep = status != 0 && !has_trailing_bytes(this);
         end_attempt(this, ATTEMPT_NOT_RUN);
     }
     else if (status == 0 || !this->has_head) {
@@ -206,36 +208,37 @@
                     this->connection.sent ? ATTEMPT_CUT : ATTEMPT_NOT_SENT);
     }
     else {
-        this->connection.keep = !has_surplus(this);
-        end_attempt(this, this->verdict);
+        this->connection.keep = !has_trailing_bytes(this);
+        end_attempt(this, this->expected_end);
     }
 }
 
 static void
-set_option(evutil_socket_t fd, int level, int option, int value)
+set_socket_option(evutil_socket_t fd, int level, int option, int value)
 {
     setsockopt(fd, level, option, &value, sizeof(value));
 }
 
-/* Of a kept connection they are set already, which does no harm. */
+/* Setting them again on a reused connection is harmless. */
 static void
-set_options(const RelayAttempt_t *this)
+set_socket_options(const RelayAttempt_t *this)
 {
     evutil_socket_t fd =
         bufferevent_getfd(AttemptConnection_stream(&this->connection));
     if (fd < 0) {
         return;
     }
-    set_option(fd, IPPROTO_TCP, TCP_NODELAY, 1);
-    set_option(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
-    set_option(fd, IPPROTO_TCP, TCP_KEEPIDLE, PROBE_AFTER_S);
-    set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, PROBE_EVERY_S);
-    set_option(fd, IPPROTO_TCP, TCP_KEEPCNT, PROBES);
-    set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS);
+    set_socket_option(fd, IPPROTO_TCP, TCP_NODELAY, 1);
+    set_socket_option(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
+    set_socket_option(fd, IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_S);
+    set_socket_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S);
+    set_socket_option(fd, IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_PROBES_MAX);
+    set_socket_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT,
+                      UNACKNOWLEDGED_MAX_MS);
 }
 
 static struct evhttp_request *
-make_request(RelayAttempt_t *this, const RelayAttemptSpec_t *spec)
+build_request(RelayAttempt_t *this, const RelayAttemptSpec_t *spec)
 {
     struct evhttp_request *request = evhttp_request_new(on_done, this);
     struct evkeyvalq *out = evhttp_request_get_output_headers(request);
@@ -246,8 +249,8 @@
     gsize length = 0;
     const void *bytes = g_bytes_get_data(spec->body, &length);
     if (length > 0) {
-        /* evhttp sends a body with any method but names its length only
-         * with some. */
+        /* evhttp sends a body with any method but adds Content-Length for some
+         * methods only. */
         g_autofree char *text = g_strdup_printf("%" G_GSIZE_FORMAT, length);
         evhttp_add_header(out, "Content-Length", text);
         evbuffer_add(evhttp_request_get_output_buffer(request), bytes, length);
@@ -276,16 +279,16 @@
     this->owner = owner;
     this->request_id = g_string_new(spec->request_id);
     AttemptConnection_init(&this->connection, base, &connection);
-    AttemptConnection_send(&this->connection, make_request(this, spec),
+    AttemptConnection_send(&this->connection, build_request(this, spec),
                            evhttp_request_get_command(spec->request),
                            evhttp_request_get_uri(spec->request));
-    set_options(this);
+    set_socket_options(this);
     return this;
 }
 
 void
-RelayAttempt_hand(RelayAttempt_t *this, const RelayAttemptEvents_t *events,
-                  void *owner)
+RelayAttempt_setOwner(RelayAttempt_t *this, const RelayAttemptEvents_t *events,
+                      void *owner)
 {
     this->events = events;
     this->owner = owner;
@@ -306,7 +309,7 @@
 gboolean
 RelayAttempt_wasSent(const RelayAttempt_t *this)
 {
-    return this->connection.sent && !says_not_run(this);
+    return this->connection.sent && !is_not_run(this);
 }
 
 void
--- a/src/RelayAttempt.h
+++ b/src/RelayAttempt.h
@@ -3,10 +3,10 @@
 /**
  * DOC: RelayAttempt
  *
- * One try to have a relayed request answered by one upstream. It hands over
- * the answer's bytes as they come and says in the end what is proved: that
- * the answer is whole, that the request did not run, or neither. It never
- * tries again by itself.
+ * One attempt to have a relayed request answered by one upstream. It passes
+ * the body to its owner as it arrives and reports at the end what is known:
+ * the answer is complete, the request did not run, or neither. It never
+ * retries.
  */
 #include <event2/buffer.h>
 
@@ -15,25 +15,27 @@
 #include "Upstream.h"
 
 /**
- * enum SilenceStep_t - what is to become of an attempt that brings nothing
- * @SILENCE_WAIT: wait on, and ask again soon
- * @SILENCE_GIVE_UP: end it as ATTEMPT_SILENT
- * @SILENCE_TAKE_BACK: end it as ATTEMPT_TAKEN_BACK
+ * enum SilenceAction_t - what to do with an attempt whose upstream is silent
+ * @SILENCE_WAIT: keep waiting and call @silent again soon
+ * @SILENCE_GIVE_UP: end the attempt as ATTEMPT_SILENT
+ * @SILENCE_TAKE_BACK: end the attempt as ATTEMPT_TAKEN_BACK
  */
 typedef enum {
     SILENCE_WAIT,
     SILENCE_GIVE_UP,
     SILENCE_TAKE_BACK,
-} SilenceStep_t;
+} SilenceAction_t;
 
 /**
- * struct RelayAttemptEvents_t - what an attempt tells its owner
- * @answered: the head of an answer that names this request; comes first
- * @head: the head of an answer to this request; not for one that says "not
- *     run"
- * @data: bytes of its body, to be taken out
- * @silent: nothing has come for too long; what to do
- * @ended: last call of all
+ * struct RelayAttemptEvents_t - callbacks to the owner of an attempt
+ * @answered: the head of an answer with this request's id was received,
+ *     whatever its status; called before @head and @data
+ * @head: the head of an answer that the caller may get; not called for one
+ *     that says "not run" or is invalid
+ * @data: part of the body was received; the owner drains @data
+ * @silent: a timeout has passed without data; returns what to do
+ * @ended: the attempt is over; the last callback. @head is NULL if none was
+ *     received
  *
  * The owner may cancel the attempt from any of them.
  */
@@ -42,24 +44,24 @@
     void (*head)(void *owner, const RelayHead_t *head,
                  const struct evkeyvalq *headers);
     void (*data)(void *owner, struct evbuffer *data);
-    SilenceStep_t (*silent)(void *owner);
+    SilenceAction_t (*silent)(void *owner);
     void (*ended)(void *owner, AttemptEnd_t end, const RelayHead_t *head);
 } RelayAttemptEvents_t;
 
 /**
- * struct RelayAttemptSpec_t - what to ask
- * @upstream: whom
- * @form: of the platform
- * @request: of the caller; read only while the attempt starts
- * @request_id: its id
- * @order: what the upstream is told besides
- * @body: of the request
- * @piece_max: most bytes of one event, or of an answer without events
- * @head_max: most bytes of the answer's head
- * @idle_max_ms: a kept connection is used if it rested no longer than this
- * @connect_ms: how long the connection may take
- * @first_ms: how long the first byte of the body may take
- * @pause_ms: how long each further byte may take
+ * struct RelayAttemptSpec_t - parameters of RelayAttempt_start()
+ * @upstream: where the request is sent
+ * @form: the platform's wire format
+ * @request: the caller's request; read only during RelayAttempt_start()
+ * @request_id: request id
+ * @order: values of the headers that this router adds
+ * @body: body of the request
+ * @piece_max: limit of one event, or of an answer without events, in bytes
+ * @head_max: limit of the answer's head, in bytes
+ * @idle_max_ms: longest idle time of a pooled connection that may be reused
+ * @connect_ms: timeout for the connection
+ * @first_ms: timeout for the first byte of the body
+ * @pause_ms: timeout between further data of the body
  */
 typedef struct {
     Upstream_t *upstream;
@@ -76,30 +78,33 @@
     gint64 pause_ms;
 } RelayAttemptSpec_t;
 
-/** struct RelayAttempt_t - opaque; frees itself after its end */
+/** struct RelayAttempt_t - opaque; frees itself after it has ended or was
+ * cancelled */
 typedef struct RelayAttempt RelayAttempt_t;
 
-/** RelayAttempt_start() - send it; @events must outlive it */
+/** RelayAttempt_start() - send the request; @events must outlive the attempt
+ */
 RelayAttempt_t *RelayAttempt_start(struct event_base *base,
                                    const RelayAttemptSpec_t *spec,
                                    const RelayAttemptEvents_t *events,
                                    void *owner);
 
-/** RelayAttempt_hand() - from now on @owner hears of it, by @events */
-void RelayAttempt_hand(RelayAttempt_t *this,
-                       const RelayAttemptEvents_t *events, void *owner);
+/** RelayAttempt_setOwner() - replace the owner and its callbacks */
+void RelayAttempt_setOwner(RelayAttempt_t *this,
+                           const RelayAttemptEvents_t *events, void *owner);
 
-/** RelayAttempt_cancel() - close the connection; no event comes any more */
+/** RelayAttempt_cancel() - close the connection; no callback follows */
 void RelayAttempt_cancel(RelayAttempt_t *this);
 
-/** RelayAttempt_fail() - end it for a fault of its answer that its owner
- * found; @ended is called */
+/** RelayAttempt_fail() - end the attempt because its owner found a fault in
+ * the answer; calls @ended */
 void RelayAttempt_fail(RelayAttempt_t *this, AttemptEnd_t end);
 
-/** RelayAttempt_wasSent() - whether the upstream may run the request */
+/** RelayAttempt_wasSent() - whether the upstream may have run the request */
 gboolean RelayAttempt_wasSent(const RelayAttempt_t *this);
 
-/** RelayAttempt_hold() - read no more from the upstream, or read on */
+/** RelayAttempt_hold() - stop reading from the upstream, or resume; the
+ * silence timeout does not run meanwhile */
 void RelayAttempt_hold(RelayAttempt_t *this, gboolean held);
 
 #endif
--- a/src/RelayDispatch.c
+++ b/src/RelayDispatch.c
@@ -5,10 +5,10 @@
 #include "LoadShed.h"
 #include "RelayRun.h"
 
-/* A key may be revoked while its request waits for another attempt, or be
- * given to another customer, in whose name the request did not come. */
+/* While a request waits for another attempt, its key may be revoked or
+ * assigned to another customer, on whose account it must not run. */
 static gboolean
-has_key(const RelayExchange_t *this, Refusal_t *refusal)
+is_key_valid(const RelayExchange_t *this, Refusal_t *refusal)
 {
     const Context_t *context = this->super.context;
     gint64 max_age_ms = context->settings->relay.config_max_age_ms;
@@ -19,9 +19,9 @@
         *refusal = REFUSAL_CONFIG_STALE;
         return FALSE;
     }
-    const RouteCustomer_t *holder = RouteConfig_findCustomer(
+    const RouteCustomer_t *key_owner = RouteConfig_findCustomer(
         RouteTable_config(context->routes), this->request.key);
-    if (!holder || !g_string_equal(holder->name, this->customer->name)) {
+    if (!key_owner || !g_string_equal(key_owner->name, this->customer->name)) {
         *refusal = REFUSAL_KEY_REVOKED;
         return FALSE;
     }
@@ -39,31 +39,32 @@
         *refusal = REFUSAL_CRASHES_UPSTREAMS;
         return FALSE;
     }
-    return has_key(this, refusal);
+    return is_key_valid(this, refusal);
 }
 
 gboolean
-RelayDispatch_mayFollow(const RelayExchange_t *this, Refusal_t *refusal)
+RelayDispatch_mayRetry(const RelayExchange_t *this, Refusal_t *refusal)
 {
     const Exchange_t *super = &this->super;
-    RelayWish_t wish = RelayExchange_wish(this);
-    RelayPlacing_t placing;
+    RelayPlacementInput_t input = RelayExchange_placementInput(this);
+    RelayDestination_t destination;
     if (!RelayDispatch_isAllowed(this, refusal)) {
         return FALSE;
     }
-    wish.terms.avoid = super->upstream;
-    RelayPlacer_choose(super->context, &wish, &placing);
-    if (!placing.choice.upstream ||
-        placing.choice.upstream == super->upstream) {
+    input.terms.avoid = super->upstream;
+    RelayPlacer_choose(super->context, &input, &destination);
+    if (!destination.choice.upstream ||
+        destination.choice.upstream == super->upstream) {
         *refusal = REFUSAL_NO_UPSTREAM;
         return FALSE;
     }
     return TRUE;
 }
 
-/* Only the first attempt: later ones have waited already. */
+/* Only a first attempt is shed: a request with later ones has waited
+ * already. */
 static gboolean
-is_shed(RelayExchange_t *this, const RelayPlacing_t *placing)
+shed_if_late(RelayExchange_t *this, const RelayDestination_t *destination)
 {
     const Exchange_t *super = &this->super;
     const Context_t *context = super->context;
@@ -71,81 +72,83 @@
         !context->settings->relay.refuse_late) {
         return FALSE;
     }
-    LoadShedInput_t facts = {
-        .expected_us = placing->choice.cost_us,
-        .own_us = placing->choice.own_us,
+    LoadShedInput_t shed_input = {
+        .expected_us = destination->choice.cost_us,
+        .own_us = destination->choice.own_us,
         .objective_ms = this->route->objective_ms,
         .spread_us = Forecast_spreadUs(context->forecast, super->target->str),
         .left_ms = super->deadline_ms - Clock_nowMs(),
     };
-    LoadShedDecision_t plan = LoadShed_decide(&facts);
-    if (!plan.admitted) {
-        LoadShed_log(&facts, &plan, super->id->str,
-                     placing->choice.upstream->name->str);
-        RelayAnswer_setRetryAfter(this->answer, plan.retry_after_ms);
+    LoadShedDecision_t decision = LoadShed_decide(&shed_input);
+    if (!decision.admitted) {
+        LoadShed_log(&shed_input, &decision, super->id->str,
+                     destination->choice.upstream->name->str);
+        RelayAnswer_setRetryAfter(this->answer, decision.retry_after_ms);
     }
-    return !plan.admitted;
+    return !decision.admitted;
 }
 
 static void
-refuse_now(Exchange_t *super, Refusal_t refusal)
+refuse_request(Exchange_t *super, Refusal_t refusal)
 {
     if (refusal == REFUSAL_CRASHES_UPSTREAMS) {
         Exchange_refuseHeld(super);
         return;
     }
-    gboolean for_key =
+    gboolean depends_on_config =
         refusal == REFUSAL_CONFIG_STALE || refusal == REFUSAL_KEY_REVOKED;
     g_autofree char *detail =
-        for_key ? RouteTable_describe(super->context->routes) : NULL;
+        depends_on_config ? RouteTable_describe(super->context->routes) : NULL;
     Exchange_refuse(super, refusal, Exchange_runState(super), detail);
 }
 
-/* The dispatcher may not have heard yet of what this router knows. */
+/* The dispatcher may not know yet what this router knows of the upstream. */
 static gboolean
-is_usable(const RelayPlacing_t *placing, const Choice_t *choice)
+is_usable(const RelayDestination_t *destination, const Choice_t *choice)
 {
     return choice->upstream &&
-           Policy_mayUse(&placing->placement, choice->upstream);
+           Policy_mayUse(&destination->placement, choice->upstream);
 }
 
 static void
-go_to(RelayExchange_t *this, const RelayWish_t *wish, RelayPlacing_t *placing)
+start_attempt(RelayExchange_t *this, const RelayPlacementInput_t *input,
+              RelayDestination_t *destination)
 {
     Exchange_t *super = &this->super;
-    if (is_shed(this, placing)) {
+    if (shed_if_late(this, destination)) {
         RelayExchange_endTicket(this);
-        refuse_now(super, REFUSAL_OVERLOADED);
+        refuse_request(super, REFUSAL_OVERLOADED);
         return;
     }
-    if (!ExchangeRoom_mayGo(super, placing->choice.upstream)) {
+    if (!ExchangeRoom_mayGo(super, destination->choice.upstream)) {
         return;
     }
-    RelayPlacer_prepare(super->context, wish, placing);
-    RelayPlacing_log(placing, super->id->str, &this->request);
-    RelayRun_start(this, placing);
+    RelayPlacer_prepare(super->context, input, destination);
+    RelayDestination_log(destination, super->id->str, &this->request);
+    RelayRun_start(this, destination);
 }
 
-/* Where this router alone would send it; the caller is told where there is no
- * such place. */
+/* Chooses an upstream from this router's own knowledge; refuses the request if
+ * it is not allowed or no upstream fits. */
 static gboolean
-choose(RelayExchange_t *this, RelayWish_t *wish, RelayPlacing_t *placing)
+choose_upstream(RelayExchange_t *this, RelayPlacementInput_t *input,
+                RelayDestination_t *destination)
 {
     Exchange_t *super = &this->super;
     Refusal_t refusal = REFUSAL_COUNT;
     if (!RelayDispatch_isAllowed(this, &refusal)) {
-        refuse_now(super, refusal);
+        refuse_request(super, refusal);
         return FALSE;
     }
-    RelayPlacer_choose(super->context, wish, placing);
-    if (!placing->choice.upstream && wish->terms.permitted) {
+    RelayPlacer_choose(super->context, input, destination);
+    if (!destination->choice.upstream && input->terms.permitted) {
         ExchangeRoom_forgo(super);
-        wish->terms.permitted = NULL;
-        RelayPlacer_choose(super->context, wish, placing);
+        input->terms.permitted = NULL;
+        RelayPlacer_choose(super->context, input, destination);
     }
-    if (!placing->choice.upstream) {
-        RelayPlacing_log(placing, super->id->str, &this->request);
-        ExchangeRoom_refuse(super, &placing->placement);
+    if (!destination->choice.upstream) {
+        RelayDestination_log(destination, super->id->str, &this->request);
+        ExchangeRoom_refuse(super, &destination->placement);
         return FALSE;
     }
     return TRUE;
@@ -156,40 +159,44 @@
               const DispatchTicket_t *ticket)
 {
     RelayExchange_t *this = owner;
-    RelayWish_t wish = RelayExchange_wish(this);
-    RelayPlacing_t placing;
-    this->ask = NULL;
+    RelayPlacementInput_t input = RelayExchange_placementInput(this);
+    RelayDestination_t destination;
+    this->query = NULL;
     this->ticket = *ticket;
     if (this->super.over || this->super.left ||
-        !choose(this, &wish, &placing)) {
+        !choose_upstream(this, &input, &destination)) {
         RelayExchange_endTicket(this);
         return;
     }
-    if (is_usable(&placing, choice)) {
-        placing.choice = *choice;
+    if (is_usable(&destination, choice)) {
+        destination.choice = *choice;
     }
     else {
         RelayExchange_endTicket(this);
     }
-    go_to(this, &wish, &placing);
+    start_attempt(this, &input, &destination);
 }
 
-/* A request that has been to the gate of an upstream has asked already. */
+/* The dispatcher to query, or NULL if there is none, the route is not placed
+ * by prefix, or the request has asked for capacity at an upstream's limit,
+ * which it does after the query. */
 static Dispatch_t *
-asked_dispatch(const RelayExchange_t *this, const RelayWish_t *wish)
+select_dispatcher(const RelayExchange_t *this,
+                  const RelayPlacementInput_t *input)
 {
     const Exchange_t *super = &this->super;
-    gboolean has_asked = wish->terms.permitted || super->room.refusals > 0;
-    return this->route->by_prefix && !has_asked ? super->context->dispatch
-                                                : NULL;
+    gboolean was_queried = input->terms.permitted || super->room.refusals > 0;
+    return this->route->by_prefix && !was_queried ? super->context->dispatch
+                                                  : NULL;
 }
 
-/* What the dispatcher has chosen has no room, which it learns by this. */
+/* If the request has a ticket, it is placed again because the upstream that
+ * the dispatcher chose had no capacity: reports that to the dispatcher. */
 static void
-return_ticket(RelayExchange_t *this, const RelayWish_t *wish)
+report_full_upstream(RelayExchange_t *this, const RelayPlacementInput_t *input)
 {
     Dispatch_t *dispatch = this->super.context->dispatch;
-    if (dispatch && !wish->terms.permitted) {
+    if (dispatch && !input->terms.permitted) {
         Dispatch_reportRefusal(dispatch, &this->ticket);
     }
 }
@@ -197,18 +204,19 @@
 void
 RelayDispatch_place(RelayExchange_t *this)
 {
-    RelayWish_t wish = RelayExchange_wish(this);
-    RelayPlacing_t placing;
-    return_ticket(this, &wish);
-    if (!choose(this, &wish, &placing)) {
+    RelayPlacementInput_t input = RelayExchange_placementInput(this);
+    RelayDestination_t destination;
+    report_full_upstream(this, &input);
+    if (!choose_upstream(this, &input, &destination)) {
         return;
     }
-    Dispatch_t *dispatch = asked_dispatch(this, &wish);
-    this->ask = dispatch ? Dispatch_query(dispatch, &placing.placement,
-                                          this->request.model, &placing.choice,
-                                          on_dispatched, this)
-                         : NULL;
-    if (!this->ask) {
-        go_to(this, &wish, &placing);
+    Dispatch_t *dispatch = select_dispatcher(this, &input);
+    this->query =
+        dispatch ? Dispatch_query(dispatch, &destination.placement,
+                                  this->request.model, &destination.choice,
+                                  on_dispatched, this)
+                 : NULL;
+    if (!this->query) {
+        start_attempt(this, &input, &destination);
     }
 }
--- a/src/RelayDispatch.h
+++ b/src/RelayDispatch.h
@@ -3,32 +3,36 @@
 /**
  * DOC: RelayDispatch
  *
- * Where the next attempt of a relayed request goes: checks that it may still
- * go on, asks the dispatcher of its engines where there is one (Dispatch.h),
- * refuses what no engine can begin in time (LoadShed.h) and starts the
- * attempt (RelayRun.h).
+ * Starts the next attempt of a relayed request: checks that the request is
+ * still allowed, queries the dispatcher of its engines if there is one
+ * (Dispatch.h), sheds a request that no engine can begin in time (LoadShed.h)
+ * and starts the attempt (RelayRun.h).
  */
 #include "RelayExchangeState.h"
 
 /**
- * RelayDispatch_mayFollow() - whether another attempt may follow the one that
- * is under way
- * @refusal: set to the reason where none may
+ * RelayDispatch_mayRetry() - whether another attempt may follow the one under
+ * way
+ * @refusal: set to the reason if none may
  *
- * To be asked before an attempt that may still succeed is given up: what
- * cannot go on elsewhere is better left where it is.
+ * Call it before giving up an attempt that may still succeed: a request that
+ * has no other upstream keeps its attempt.
  */
-gboolean RelayDispatch_mayFollow(const RelayExchange_t *this,
-                                 Refusal_t *refusal);
+gboolean RelayDispatch_mayRetry(const RelayExchange_t *this,
+                                Refusal_t *refusal);
 
-/** RelayDispatch_isAllowed() - the caller is there and its key still in force;
- * it may have been revoked since the request came
- * @refusal: set to the reason where not */
+/**
+ * RelayDispatch_isAllowed() - whether a further attempt is allowed
+ * @refusal: set to the reason if not
+ *
+ * Return: FALSE if the caller left, the request is quarantined, its key was
+ * revoked since it was admitted, or the configuration is too old to tell
+ */
 gboolean RelayDispatch_isAllowed(const RelayExchange_t *this,
                                  Refusal_t *refusal);
 
-/** RelayDispatch_place() - start the next attempt or refuse; at once, or when
- * the dispatcher has answered */
+/** RelayDispatch_place() - start the next attempt or refuse the request,
+ * either immediately or once the dispatcher has replied */
 void RelayDispatch_place(RelayExchange_t *this);
 
 #endif
--- a/src/RelayExchange.c
+++ b/src/RelayExchange.c
@@ -11,14 +11,15 @@
 #include "RelayMove.h"
 #include "RelayRun.h"
 
-/* Attempts that are proved not to have run do not count against the route's
- * most, up to so many: each costs a round trip and the retry budget. */
-#define UNRUN_MAX 6
+/* Attempts that are known not to have run do not count against the route's
+ * limit of attempts, up to this number: each costs a round trip and a part of
+ * the retry budget. */
+#define UNCOUNTED_ATTEMPTS_MAX 6
 
-RelayWish_t
-RelayExchange_wish(const RelayExchange_t *this)
+RelayPlacementInput_t
+RelayExchange_placementInput(const RelayExchange_t *this)
 {
-    return (RelayWish_t){
+    return (RelayPlacementInput_t){
         .route = this->route,
         .service = this->super.target->str,
         .customer = this->customer,
@@ -48,17 +49,17 @@
 {
     RelayExchange_t *this = (RelayExchange_t *)super;
     RelayMove_forbid(this);
-    if (this->ask) {
-        Dispatch_cancelQuery(this->ask);
+    if (this->query) {
+        Dispatch_cancelQuery(this->query);
     }
     RelayAnswer_destroy(this->answer);
     this->form->caller->clear_request(&this->request);
     g_bytes_unref(this->request_body);
-    if (this->events) {
-        EventPipe_destroy(this->events);
+    if (this->event_pipe) {
+        EventPipe_destroy(this->event_pipe);
     }
-    evbuffer_free(this->body);
-    evbuffer_free(this->passing);
+    evbuffer_free(this->answer_body);
+    evbuffer_free(this->outgoing);
     Exchange_clear(super);
     RouteConfig_unref(this->config);
     g_free(this);
@@ -78,15 +79,16 @@
     return RelayRun_cancel(this);
 }
 
-/* An upstream's own failure says more than ours would. */
+/* The upstream's own error answer, if there is one, is forwarded in place of
+ * this router's refusal, as it says more. */
 static void
 refuse(Exchange_t *super, const RefusalNotice_t *notice)
 {
     RelayExchange_t *this = (RelayExchange_t *)super;
     RelayExchange_closeIfStopping(this);
-    if (this->has_answer && notice->run != RUN_NOT &&
-        !RelayAnswer_isBegun(this->answer)) {
-        RelayAnswer_whole(this->answer, this->body);
+    if (this->has_upstream_error && notice->run != RUN_NOT &&
+        !RelayAnswer_isHeadSent(this->answer)) {
+        RelayAnswer_sendComplete(this->answer, this->answer_body);
         return;
     }
     if (notice->retry_after_ms > 0) {
@@ -97,32 +99,35 @@
 }
 
 static guint64
-events_passed(const RelayExchange_t *this)
+forwarded_events(const RelayExchange_t *this)
 {
-    return this->events ? EventPipe_passed(this->events) : 0;
+    return this->event_pipe ? EventPipe_passed(this->event_pipe) : 0;
 }
 
 static void
-add_facts(const Exchange_t *super, RecoveryFacts_t *facts)
+add_recovery_input(const Exchange_t *super, RecoveryFacts_t *input)
 {
     const RelayExchange_t *this = (const RelayExchange_t *)super;
-    facts->tokens = events_passed(this);
-    facts->attempts -= MIN(this->unrun, UNRUN_MAX);
+    input->tokens = forwarded_events(this);
+    input->attempts -= MIN(this->not_run_attempts, UNCOUNTED_ATTEMPTS_MAX);
 }
 
-/* What was later than the route aims at, as far as this router sees it. */
+/* The phase that exceeded the route's targets, as seen by this router: time to
+ * the first event (or to a complete answer), or the longest pause. */
 static const char *
-late_by(const RelayExchange_t *this)
+late_phase(const RelayExchange_t *this)
 {
     const Exchange_t *super = &this->super;
     gint64 objective_us = this->route->objective_ms * CLOCK_US_PER_MS;
-    gint64 aim_us = this->route->pause_ms * CLOCK_US_PER_MS;
+    gint64 max_pause_target_us = this->route->pause_ms * CLOCK_US_PER_MS;
     gint64 first_us =
-        this->events ? this->first_us : Clock_nowUs() - super->started_us;
+        this->event_pipe ? this->first_us : Clock_nowUs() - super->started_us;
     if (objective_us > 0 && first_us > objective_us) {
         return "first";
     }
-    return aim_us > 0 && this->pause_us > aim_us ? "pause" : "no";
+    return max_pause_target_us > 0 && this->max_pause_us > max_pause_target_us
+               ? "pause"
+               : "no";
 }
 
 static void
@@ -130,11 +135,11 @@
 {
     const RelayExchange_t *this = (const RelayExchange_t *)super;
     Log_text("route", this->route->name->str);
-    Log_text("late", late_by(this));
-    Log_number("events", (gint64)events_passed(this));
+    Log_text("late", late_phase(this));
+    Log_number("events", (gint64)forwarded_events(this));
     if (super->attempt_trace) {
         Log_number("first_us", this->first_us);
-        Log_number("pause_us", this->pause_us);
+        Log_number("pause_us", this->max_pause_us);
     }
     if (super->avoid) {
         Log_text("upstream", super->avoid->name->str);
@@ -146,18 +151,20 @@
     .place = place,
     .drop = drop,
     .refuse = refuse,
-    .facts = add_facts,
+    .facts = add_recovery_input,
     .log_end = log_end,
 };
 
-/* What may run only once goes on, so that its outcome is known. */
+/* A request that may run only once and was sent continues without its caller,
+ * so that its outcome becomes known. */
 static void
 on_caller_left(void *owner)
 {
     RelayExchange_t *this = owner;
     Exchange_t *super = &this->super;
-    if (super->over || (this->attempt && !this->events && !super->repeatable &&
-                        RelayAttempt_wasSent(this->attempt))) {
+    if (super->over ||
+        (this->attempt && !this->event_pipe && !super->repeatable &&
+         RelayAttempt_wasSent(this->attempt))) {
         return;
     }
     Exchange_leave(super, 0);
@@ -173,21 +180,21 @@
 }
 
 static const RelayRunEvents_t run_events = {
-    .begun = RelayMove_allow,
-    .heard = RelayMove_noteHeard,
-    .may_follow = RelayDispatch_mayFollow,
-    .go_beside = RelayMove_goBeside,
-    .broke_off = RelayMove_complete,
-    .over = RelayMove_forbid,
+    .first_event = RelayMove_allow,
+    .events_received = RelayMove_noteEvents,
+    .may_retry = RelayDispatch_mayRetry,
+    .hedge = RelayMove_hedge,
+    .fail_over = RelayMove_failOver,
+    .ended = RelayMove_forbid,
 };
 
 static const RelayAnswerEvents_t answer_events = {
-    .left = on_caller_left,
+    .caller_left = on_caller_left,
     .drained = on_caller_drained,
 };
 
 static gint64
-deadline_of(const Context_t *context, const RelayExchangeSpec_t *spec)
+compute_deadline(const Context_t *context, const RelayExchangeSpec_t *spec)
 {
     gint64 wait_ms = spec->request->wait_ms;
     gint64 limit_ms = spec->route->time_limit_ms;
@@ -214,7 +221,7 @@
         .customer = spec->customer ? spec->customer->name->str : "",
         .customer_class = Route_kindName(spec->route->kind),
         .target = spec->service,
-        .deadline_ms = deadline_of(context, spec),
+        .deadline_ms = compute_deadline(context, spec),
         .repeatable = is_repeatable(spec->route),
         .max_attempts = spec->route->max_attempts,
         .path = evhttp_request_get_uri(spec->http),
@@ -223,24 +230,24 @@
     Exchange_init(&this->super, &class, context, &base);
     this->form = context->form;
     this->run_events = &run_events;
-    this->kept_for = REFUSAL_COUNT;
+    this->keep_reason = REFUSAL_COUNT;
     this->config = RouteConfig_ref(spec->config);
     this->route = spec->route;
     this->customer = spec->customer;
     this->request = *spec->request;
-    this->body = evbuffer_new();
-    this->passing = evbuffer_new();
+    this->answer_body = evbuffer_new();
+    this->outgoing = evbuffer_new();
     if (spec->route->kind == ROUTE_STREAM) {
-        this->events =
+        this->event_pipe =
             EventPipe_create((gsize)context->settings->limits.event_max);
     }
     return this;
 }
 
-/* The customer's configuration counts prompts and answers together; a request
- * that names no tokens counts as so many. */
+/* A limit by tokens charges the tokens of prompt and answer together, and
+ * plain_tokens for a request that states no token counts. */
 static RateRequest_t
-rate_of(const RelayExchange_t *this)
+build_rate_request(const RelayExchange_t *this)
 {
     const RouteCustomer_t *customer = this->customer;
     const RelayRequest_t *request = &this->request;
@@ -261,7 +268,7 @@
 RelayExchange_start(Context_t *context, const RelayExchangeSpec_t *spec)
 {
     RelayExchange_t *this = create(context, spec);
-    RateRequest_t rate = rate_of(this);
+    RateRequest_t rate = build_rate_request(this);
     RelayAnswerSpec_t answer = {
         .request = spec->http,
         .id = this->super.id->str,
--- a/src/RelayExchange.h
+++ b/src/RelayExchange.h
@@ -3,21 +3,21 @@
 /**
  * DOC: RelayExchange
  *
- * The form of a request whose bytes pass through unchanged, as a whole
- * answer or as a stream of events. A resumable stream that breaks goes on at
- * another upstream behind the last event that the caller has.
+ * The kind of Exchange_t that forwards bytes unchanged, as a complete answer
+ * or as an event stream. If a resumable stream breaks, it continues at another
+ * upstream after the last event that the caller received.
  */
 #include "Context.h"
 #include "RelayForm.h"
 
 /**
  * struct RelayExchangeSpec_t - an admitted request
- * @http: of evhttp; answered by the exchange
- * @config: version that it is admitted under
- * @route: of @config
- * @service: the route's target that it goes to
- * @customer: of @config, or NULL
- * @request: what its head says; taken over
+ * @http: the caller's evhttp request; the exchange answers it
+ * @config: configuration that the request was admitted under
+ * @route: route in @config
+ * @service: service that was picked from the route's targets
+ * @customer: customer in @config, or NULL
+ * @request: the parsed head; the exchange takes ownership of its contents
  */
 typedef struct {
     struct evhttp_request *http;
@@ -28,7 +28,8 @@
     const RelayRequest_t *request;
 } RelayExchangeSpec_t;
 
-/** RelayExchange_start() - take a request on; it always gets an answer */
+/** RelayExchange_start() - start to process a request; the caller always gets
+ * an answer or a refusal */
 void RelayExchange_start(Context_t *context, const RelayExchangeSpec_t *spec);
 
 #endif
--- a/src/RelayExchangeState.h
+++ b/src/RelayExchangeState.h
@@ -3,9 +3,9 @@
 /**
  * DOC: RelayExchangeState
  *
- * What the parts of a relayed request's life share, for them alone: its
- * beginning and end (RelayExchange.c), where it goes (RelayDispatch.h), its
- * attempts (RelayRun.h) and its moves to other engines (RelayMove.h).
+ * State of a relayed request, private to the modules that implement it: start
+ * and end (RelayExchange.c), choice of the upstream (RelayDispatch.h),
+ * attempts (RelayRun.h) and moves to other engines (RelayMove.h).
  */
 #include "EventPipe.h"
 #include "Exchange.h"
@@ -21,55 +21,57 @@
 typedef struct RelayExchange RelayExchange_t;
 
 /**
- * struct RelayRunEvents_t - what is told and asked of the attempt under way
- * @begun: its first event has come
- * @heard: more of its answer has come
- * @may_follow: whether another attempt may follow it; else sets the reason
- * @go_beside: its upstream is silent: try another one beside it; FALSE where
- *     its answer has not begun, or what comes twice could not be told, so that
- *     it is given up first
- * @broke_off: it is over and was not whole; TRUE where another one has taken
- *     its place
- * @over: it is over, and none has taken its place
+ * struct RelayRunEvents_t - callbacks about the attempt under way
+ * @first_event: the attempt's first event was received
+ * @events_received: complete events were received
+ * @may_retry: returns whether another attempt may follow this one, or sets the
+ *     reason why not
+ * @hedge: the upstream is silent: start a hedged attempt at another one.
+ *     Returns FALSE if the caller has nothing of the answer yet or repeated
+ *     events could not be recognized; the attempt must then end before another
+ *     one starts
+ * @fail_over: the attempt ended without a complete answer; returns TRUE if the
+ *     hedged attempt has replaced it
+ * @ended: the attempt ended and no hedged attempt has replaced it
  */
 typedef struct {
-    void (*begun)(RelayExchange_t *this);
-    void (*heard)(RelayExchange_t *this);
-    gboolean (*may_follow)(const RelayExchange_t *this, Refusal_t *refusal);
-    gboolean (*go_beside)(RelayExchange_t *this);
-    gboolean (*broke_off)(RelayExchange_t *this);
-    void (*over)(RelayExchange_t *this);
+    void (*first_event)(RelayExchange_t *this);
+    void (*events_received)(RelayExchange_t *this);
+    gboolean (*may_retry)(const RelayExchange_t *this, Refusal_t *refusal);
+    gboolean (*hedge)(RelayExchange_t *this);
+    gboolean (*fail_over)(RelayExchange_t *this);
+    void (*ended)(RelayExchange_t *this);
 } RelayRunEvents_t;
 
 /**
- * struct RelayExchange_t - a request under way
- * @super: of every request
- * @form: of the platform
- * @config: version that it was admitted under; held
- * @route: of @config
- * @customer: of @config, or NULL
- * @request: what its head says
- * @request_body: its bytes
- * @answer: to the caller
- * @run_events: of its attempts
- * @attempt: under way, or NULL
- * @feedback: what the attempt tells of its upstream
- * @move: to another engine, under way beside @attempt, or NULL
- * @ask: question to the dispatcher under way, or NULL
- * @ticket: of the attempt
- * @events: of a stream, else NULL
- * @body: of a whole answer
- * @passing: events on their way to the caller
- * @first_us: from its start to the first event of all; 0 for none yet
- * @event_us: when the last event was passed on, monotonic; 0 for none yet
- * @pause_us: longest time between two events
- * @unrun: attempts that did not run
+ * struct RelayExchange_t - a relayed request under way
+ * @super: base of all exchanges
+ * @form: the platform's wire format
+ * @config: configuration that the request was admitted under; one reference
+ * @route: route in @config
+ * @customer: customer in @config, or NULL
+ * @request: the parsed head
+ * @request_body: the caller's body
+ * @answer: answer to the caller
+ * @run_events: callbacks about the attempts
+ * @attempt: attempt under way, or NULL
+ * @feedback: observations about the attempt's upstream
+ * @move: move to another engine, under way beside @attempt, or NULL
+ * @query: query to the dispatcher under way, or NULL
+ * @ticket: dispatcher's ticket of the attempt
+ * @event_pipe: events of a stream; NULL for a route without streams
+ * @answer_body: body of an answer that is not a stream, until it is complete
+ * @outgoing: events to be sent to the caller next
+ * @first_us: time from the request's start to its first event; 0 for none yet
+ * @last_event_us: when the last event was forwarded, monotonic; 0 for none yet
+ * @max_pause_us: longest time between two events
+ * @not_run_attempts: number of attempts that did not run
  * @is_stream: the answer under way is a stream
- * @has_answer: a failure of the upstream to pass on
- * @kept_for: why the attempt under way is not given up although its upstream
- *     is silent, REFUSAL_COUNT for none
- * @beside_ms: from when on another upstream may be tried beside a silent one,
- *     monotonic
+ * @has_upstream_error: @answer_body is an upstream's error answer that may be
+ *     forwarded
+ * @keep_reason: why the attempt under way is kept although its upstream is
+ *     silent; REFUSAL_COUNT for none
+ * @next_hedge_ms: earliest time of the next hedged attempt, monotonic
  */
 struct RelayExchange {
     Exchange_t super;
@@ -84,31 +86,34 @@
     RelayAttempt_t *attempt;
     RelayFeedback_t feedback;
     RelayMove_t *move;
-    DispatchQuery_t *ask;
+    DispatchQuery_t *query;
     DispatchTicket_t ticket;
-    EventPipe_t *events;
-    struct evbuffer *body;
-    struct evbuffer *passing;
+    EventPipe_t *event_pipe;
+    struct evbuffer *answer_body;
+    struct evbuffer *outgoing;
     gint64 first_us;
-    gint64 event_us;
-    gint64 pause_us;
-    guint unrun;
+    gint64 last_event_us;
+    gint64 max_pause_us;
+    guint not_run_attempts;
     gboolean is_stream;
-    gboolean has_answer;
-    Refusal_t kept_for;
-    gint64 beside_ms;
+    gboolean has_upstream_error;
+    Refusal_t keep_reason;
+    gint64 next_hedge_ms;
 };
 
-/** RelayExchange_wish() - what it asks of an upstream; valid as long as it */
-RelayWish_t RelayExchange_wish(const RelayExchange_t *this);
+/** RelayExchange_placementInput() - what the choice of an upstream depends on;
+ * valid as long as the exchange */
+RelayPlacementInput_t
+RelayExchange_placementInput(const RelayExchange_t *this);
 
-/** RelayExchange_endTicket() - its dispatcher need not count it any more;
- * may be called again */
+/** RelayExchange_endTicket() - tell the dispatcher to stop counting the
+ * request; may be called again */
 void RelayExchange_endTicket(RelayExchange_t *this);
 
-/** RelayExchange_closeIfStopping() - tell the caller to come back elsewhere
- * where the router stops; called as late as the head goes out, as the stop
- * may begin before that */
+/** RelayExchange_closeIfStopping() - close the caller's connection after the
+ * answer if the router is stopping, so that the caller reconnects elsewhere.
+ * Called just before the head is sent, as the router may begin to stop while
+ * the request runs. */
 void RelayExchange_closeIfStopping(const RelayExchange_t *this);
 
 #endif
--- a/src/RelayFeedback.c
+++ b/src/RelayFeedback.c
@@ -6,42 +6,46 @@
 #include "Log.h"
 #include "PrefixSupply.h"
 
-/* An upstream that answered anything in this time is busy, not gone. */
-#define PROOF_AGE_MS 1000
+/* An upstream that answered any request within this time is busy rather than
+ * unreachable. */
+#define LIVENESS_MAX_AGE_MS 1000
 
 void
 RelayFeedback_begin(RelayFeedback_t *this, const Context_t *context,
-                    const char *request_id, const RelayPlacing_t *placing)
+                    const char *request_id,
+                    const RelayDestination_t *destination)
 {
-    guint prompt_tokens = placing->placement.prompt_tokens;
+    guint prompt_tokens = destination->placement.prompt_tokens;
     this->context = context;
-    this->upstream = placing->choice.upstream;
+    this->upstream = destination->choice.upstream;
     this->origin = NoticeOrigin_begin(this->upstream, request_id);
-    this->placement = placing->placement;
+    this->placement = destination->placement;
     this->saved_prefix =
-        placing->save_to[0] != '\0' ? placing->saved_prefix : 0;
+        destination->save_to[0] != '\0' ? destination->saved_prefix : 0;
     this->missing_tokens =
-        prompt_tokens - MIN(placing->choice.expected_cached, prompt_tokens);
+        prompt_tokens -
+        MIN(destination->choice.expected_cached, prompt_tokens);
     this->upstream->pending_tokens += this->missing_tokens;
-    this->begun_us = 0;
-    FirstToken_clear(&this->first);
-    FirstToken_expect(&this->first, &placing->placement, &placing->choice);
+    this->first_event_us = 0;
+    FirstToken_clear(&this->first_token);
+    FirstToken_expect(&this->first_token, &destination->placement,
+                      &destination->choice);
 }
 
 void
-RelayFeedback_settle(RelayFeedback_t *this)
+RelayFeedback_clearPending(RelayFeedback_t *this)
 {
     if (this->missing_tokens > 0) {
         this->upstream->pending_tokens -= this->missing_tokens;
     }
     this->missing_tokens = 0;
-    FirstToken_clear(&this->first);
+    FirstToken_clear(&this->first_token);
 }
 
-/* Parts are sent to the store once they are read, which is before the first
+/* An engine saves a prefix once it has computed it, which is before the first
  * event. */
 static void
-note_saved(RelayFeedback_t *this)
+note_prefix_saved(RelayFeedback_t *this)
 {
     if (this->saved_prefix != 0) {
         CacheStore_noteSaved(this->context->cache_store, this->saved_prefix,
@@ -51,7 +55,7 @@
 }
 
 static EngineSpeed_t *
-speed_of(const RelayFeedback_t *this)
+find_speed(const RelayFeedback_t *this)
 {
     GHashTable *speeds = this->context->speeds;
     EngineSpeed_t *speed = g_hash_table_lookup(speeds, this->placement.target);
@@ -63,9 +67,10 @@
     return speed;
 }
 
-/* A router of many sees each engine seldom. */
+/* Applies the learned speed to all engines of the service: in a large fleet,
+ * one router has few requests at each engine to learn from. */
 static void
-give_speed(const RelayFeedback_t *this, const EngineSpeed_t *speed)
+apply_speed(const RelayFeedback_t *this, const EngineSpeed_t *speed)
 {
     const GPtrArray *serving = UpstreamSet_serving(
         this->context->upstreams, ROLE_SERVICE, this->placement.target);
@@ -75,26 +80,26 @@
     }
 }
 
-/* Where a move is part of the wait, or nobody knows whether there was one, it
- * says nothing of the engine. */
+/* The wait shows the engine's speed only if the prefix was held or computed
+ * there; otherwise it includes, or may include, a transfer of the prefix. */
 static void
 note_speed(const RelayFeedback_t *this, gint64 waited_us)
 {
-    SupplyKind_t kind = this->first.supply.kind;
+    SupplyKind_t kind = this->first_token.supply.kind;
     if (kind != SUPPLY_HELD && kind != SUPPLY_COMPUTED) {
         return;
     }
-    EngineSpeed_t *speed = speed_of(this);
+    EngineSpeed_t *speed = find_speed(this);
     EngineSpeed_note(speed, waited_us - UPSTREAM_LEAST_FIRST_US,
                      this->missing_tokens);
     if (EngineSpeed_hasChanged(speed)) {
-        give_speed(this, speed);
+        apply_speed(this, speed);
     }
 }
 
-/* All that the request asks for has been read. */
+/* The first event shows that the engine has computed the whole prompt. */
 static void
-note_read(const RelayFeedback_t *this)
+note_prompt_computed(const RelayFeedback_t *this)
 {
     const Placement_t *placement = &this->placement;
     guint shared = Placement_sharedLevel(placement);
@@ -110,26 +115,26 @@
 void
 RelayFeedback_noteFirstEvent(RelayFeedback_t *this, gint64 waited_us)
 {
-    FirstToken_learn(&this->first, waited_us, Clock_nowMs());
+    FirstToken_learn(&this->first_token, waited_us, Clock_nowMs());
     note_speed(this, waited_us);
     if (this->placement.level_count > 0) {
         Forecast_noteFirst(this->context->forecast, this->placement.target,
-                           this->first.expected_us, waited_us);
+                           this->first_token.expected_us, waited_us);
     }
-    this->begun_us = Clock_nowUs();
-    RelayFeedback_settle(this);
-    note_saved(this);
-    note_read(this);
+    this->first_event_us = Clock_nowUs();
+    RelayFeedback_clearPending(this);
+    note_prefix_saved(this);
+    note_prompt_computed(this);
 }
 
 void
 RelayFeedback_noteEnd(RelayFeedback_t *this)
 {
-    if (this->begun_us > 0) {
-        Upstream_noteRun(this->upstream, Clock_nowUs() - this->begun_us);
+    if (this->first_event_us > 0) {
+        Upstream_noteRun(this->upstream, Clock_nowUs() - this->first_event_us);
     }
-    this->begun_us = 0;
-    RelayFeedback_settle(this);
+    this->first_event_us = 0;
+    RelayFeedback_clearPending(this);
 }
 
 void
@@ -140,11 +145,12 @@
     }
 }
 
-/* Another instance that has the address speaks for itself. */
+/* If another instance has taken over the address, its notices do not apply to
+ * this upstream. */
 void
 RelayFeedback_noteAnswer(const RelayFeedback_t *this, const RelayHead_t *head)
 {
-    if (head->is_own) {
+    if (head->is_from_upstream) {
         UpstreamNotices_take(this->context->notices, &this->origin,
                              &head->notice);
     }
@@ -177,7 +183,7 @@
 }
 
 static void
-log_doubt(const RelayFeedback_t *this, const char *reason)
+log_suspicion(const RelayFeedback_t *this, const char *reason)
 {
     Log_begin(LOG_LEVEL_WARNING, "upstream_doubted");
     Log_text("upstream", this->upstream->name->str);
@@ -188,30 +194,31 @@
 }
 
 static void
-note_unreached(const RelayFeedback_t *this, const char *reason)
+note_unreachable(const RelayFeedback_t *this, const char *reason)
 {
     if (Upstream_noteUnreached(this->upstream)) {
-        log_doubt(this, reason);
+        log_suspicion(this, reason);
     }
 }
 
-/* A connection that does not come up, or that breaks without an answer, puts
- * all further work for this upstream in doubt. */
+/* A failed connection, silence, or a connection that breaks before the answer
+ * is complete makes the upstream suspected, so that it gets no further work
+ * for now. */
 void
-RelayFeedback_noteReach(const RelayFeedback_t *this, AttemptEnd_t end)
+RelayFeedback_noteReachability(const RelayFeedback_t *this, AttemptEnd_t end)
 {
     if (end == ATTEMPT_NOT_SENT || end == ATTEMPT_SILENT ||
         end == ATTEMPT_CUT) {
-        note_unreached(this, Recovery_endName(end));
+        note_unreachable(this, Recovery_endName(end));
     }
 }
 
 gboolean
 RelayFeedback_noteSilence(const RelayFeedback_t *this)
 {
-    if (Clock_nowMs() - this->upstream->proved_ms < PROOF_AGE_MS) {
+    if (Clock_nowMs() - this->upstream->proved_ms < LIVENESS_MAX_AGE_MS) {
         return FALSE;
     }
-    note_unreached(this, "silent");
+    note_unreachable(this, "silent");
     return this->upstream->unanswered > 0;
 }
--- a/src/RelayFeedback.h
+++ b/src/RelayFeedback.h
@@ -3,11 +3,11 @@
 /**
  * DOC: RelayFeedback
  *
- * What the attempts of a relayed request tell of their upstreams: the wait
- * for a first event, what is cached where, the weights, a refusal, and
- * whether an upstream is still reached. It also counts the attempt's prompt
- * tokens as pending at its upstream until the first event shows that they
- * are computed.
+ * Records what the attempts of a relayed request show about their upstreams:
+ * the time to the first event, cached prefixes, the version of weights,
+ * refusals, and whether the upstream is reachable. It also counts the
+ * attempt's prompt tokens as pending at the upstream until the first event
+ * shows that they are computed.
  */
 #include "FirstToken.h"
 #include "Recovery.h"
@@ -16,64 +16,70 @@
 
 /**
  * struct RelayFeedback_t - of the attempt under way; zeroed before the first
- * @context: where it is noted
- * @upstream: of the attempt; held by the exchange while it is under way
- * @origin: of its answer
- * @placement: what was weighed
- * @first: what is expected of its first token
- * @missing_tokens: counted in @upstream->pending_tokens
- * @saved_prefix: that the attempt saves, 0 for none
- * @begun_us: when its first event came, monotonic; 0 where none has
+ * @context: modules that receive the observations
+ * @upstream: upstream of the attempt; the exchange holds the reference while
+ *     the attempt is under way
+ * @origin: origin of notices in the answer
+ * @placement: inputs of the upstream's choice
+ * @first_token: estimate of the time to the first token
+ * @missing_tokens: prompt tokens counted in @upstream->pending_tokens
+ * @saved_prefix: identity of the prefix that the attempt saves, 0 for none
+ * @first_event_us: when the first event was received, monotonic; 0 for none
  */
 typedef struct {
     const Context_t *context;
     Upstream_t *upstream;
     NoticeOrigin_t origin;
     Placement_t placement;
-    FirstToken_t first;
+    FirstToken_t first_token;
     guint missing_tokens;
     guint64 saved_prefix;
-    gint64 begun_us;
+    gint64 first_event_us;
 } RelayFeedback_t;
 
-/** RelayFeedback_begin() - an attempt starts; its tokens are pending now */
+/** RelayFeedback_begin() - an attempt starts; counts its tokens as pending */
 void RelayFeedback_begin(RelayFeedback_t *this, const Context_t *context,
                          const char *request_id,
-                         const RelayPlacing_t *placing);
+                         const RelayDestination_t *destination);
 
-/** RelayFeedback_settle() - its tokens are no longer pending; may be called
- * again */
-void RelayFeedback_settle(RelayFeedback_t *this);
+/** RelayFeedback_clearPending() - stop counting the attempt's tokens as
+ * pending; may be called again */
+void RelayFeedback_clearPending(RelayFeedback_t *this);
 
 /**
- * RelayFeedback_noteFirstEvent() - the first event came
- * @waited_us: since the attempt's start
+ * RelayFeedback_noteFirstEvent() - the first event was received
+ * @waited_us: time since the attempt's start
  */
 void RelayFeedback_noteFirstEvent(RelayFeedback_t *this, gint64 waited_us);
 
-/** RelayFeedback_noteEnd() - the attempt is over, however it ended */
+/** RelayFeedback_noteEnd() - the attempt ended, whatever its result */
 void RelayFeedback_noteEnd(RelayFeedback_t *this);
 
-/** RelayFeedback_noteWeights() - the version that an answer's head names, if
- * any */
+/** RelayFeedback_noteWeights() - record the version of weights that an
+ * answer's head names, if any */
 void RelayFeedback_noteWeights(const RelayFeedback_t *this,
                                const RelayHead_t *head);
 
-/** RelayFeedback_noteAnswer() - what an answer's head says of the upstream */
+/** RelayFeedback_noteAnswer() - record an answer's notices about its
+ * upstream */
 void RelayFeedback_noteAnswer(const RelayFeedback_t *this,
                               const RelayHead_t *head);
 
-/** RelayFeedback_noteRefusal() - the upstream says "not run" */
+/** RelayFeedback_noteRefusal() - the upstream answered "not run" */
 void RelayFeedback_noteRefusal(const RelayFeedback_t *this,
                                const RelayHead_t *head);
 
-/** RelayFeedback_noteReach() - whether the end puts the upstream in doubt */
-void RelayFeedback_noteReach(const RelayFeedback_t *this, AttemptEnd_t end);
+/** RelayFeedback_noteReachability() - suspect the upstream if the attempt's
+ * end suggests that it is unreachable */
+void RelayFeedback_noteReachability(const RelayFeedback_t *this,
+                                    AttemptEnd_t end);
 
 /**
- * RelayFeedback_noteSilence() - nothing has come for too long
+ * RelayFeedback_noteSilence() - the upstream has exceeded a timeout
  *
- * Return: TRUE where a probe has stayed unanswered as well
+ * Suspects the upstream unless it has answered any request a short while ago.
+ *
+ * Return: TRUE if a probe was unanswered as well
  */
 gboolean RelayFeedback_noteSilence(const RelayFeedback_t *this);
 
--- a/src/RelayForm.h
+++ b/src/RelayForm.h
@@ -3,9 +3,10 @@
 /**
  * DOC: RelayForm
  *
- * How relayed requests look on a platform's wire: what a caller's head
- * says, what an upstream must be told, and what its answer proves. Bodies
- * pass through unchanged. A platform's form is two tables of functions.
+ * A platform's wire format for relayed requests: how to read a caller's head,
+ * how to write the head for an upstream, and how to read the head of its
+ * answer. Bodies are forwarded unchanged. A platform implements the format as
+ * two tables of functions.
  */
 #include <event2/http.h>
 #include <glib.h>
@@ -14,13 +15,13 @@
 #include "Prompt.h"
 #include "UpstreamNotice.h"
 
-/** Longest id of a request that is taken */
+/** Longest request id that is accepted, in bytes */
 #define RELAY_ID_MAX 128
 
 /**
  * struct RelayPart_t - one part of a prompt that other requests may share
  * @id: identity of the part
- * @tokens: its length
+ * @tokens: length of the part
  */
 typedef struct {
     guint64 id;
@@ -28,19 +29,20 @@
 } RelayPart_t;
 
 /**
- * struct RelayRequest_t - what a caller's head says; texts are the head's
- * @id: the request's id, as the caller chose it
- * @host: of the Host header
- * @path: without its query
+ * struct RelayRequest_t - the parsed head of a caller's request; strings other
+ * than @path point into the head
+ * @id: request id, chosen by the caller
+ * @host: value of the Host header
+ * @path: path without the query
  * @key: the caller's key, or NULL
- * @wait_ms: how long the caller waits, or 0 where it does not say
- * @model: that it asks for, or NULL
- * @has_tokens: it says how long prompt and answer are
- * @prompt_tokens: length of the prompt, 0 where unknown
- * @answer_tokens: longest answer, 0 where unknown
- * @parts: of the prompt, in order
- * @part_count: how many
- * @last_event_id: that the caller has of the stream, or NULL
+ * @wait_ms: how long the caller waits, 0 if not stated
+ * @model: requested model, or NULL
+ * @has_tokens: the head states the lengths of prompt and answer
+ * @prompt_tokens: length of the prompt, 0 if unknown
+ * @answer_tokens: longest answer, 0 if unknown
+ * @parts: parts of the prompt, in order
+ * @part_count: number of @parts
+ * @last_event_id: last event of the stream that the caller has, or NULL
  */
 typedef struct {
     const char *id;
@@ -58,12 +60,13 @@
 } RelayRequest_t;
 
 /**
- * struct RelayCallerForm_t - the callers' side
- * @read_request: fill from a request's head; FALSE where a header is at fault
- * @clear_request: free what it holds
- * @ready_path: where the balancer asks whether this router is ready
- * @id_header: header that carries the request's id in answers
- * @rules: for what a request's head may hold
+ * struct RelayCallerForm_t - wire format towards callers
+ * @read_request: parse a request's head; FALSE and an error for an invalid
+ *     header
+ * @clear_request: free what @read_request allocated
+ * @ready_path: path of the load balancer's readiness check
+ * @id_header: response header that carries the request id
+ * @rules: rules for the headers of a request
  */
 typedef struct {
     gboolean (*read_request)(struct evhttp_request *http, RelayRequest_t *out,
@@ -75,16 +78,18 @@
 } RelayCallerForm_t;
 
 /**
- * struct RelayOrder_t - what an upstream is told besides the caller's head
- * @instance: name of the upstream that it is meant for
- * @customer: whose request it is, or NULL
- * @wait_ms: what is left of the caller's time
- * @rank: urgency, 0 first
- * @weights: version of weights it must run on, or NULL
- * @salt: names the cached prefixes that it may use, or NULL
- * @fetch_from: address to take cached prefixes from, or NULL
- * @save_to: address to keep them at, or NULL
- * @last_event_id: go on behind this event, or NULL
+ * struct RelayOrder_t - values that this router adds to the caller's head for
+ * an upstream
+ * @instance: name of the upstream that the request is meant for
+ * @customer: name of the request's customer, or NULL
+ * @wait_ms: time left until the caller's deadline
+ * @rank: priority, 0 is served first
+ * @weights: version of weights that the request must run on, or NULL
+ * @salt: cache salt, which selects the cached prefixes that the request may
+ *     use, or NULL
+ * @fetch_from: address to fetch cached prefixes from, or NULL
+ * @save_to: address to save computed prefixes at, or NULL
+ * @last_event_id: continue the stream after this event, or NULL
  */
 typedef struct {
     const char *instance;
@@ -99,32 +104,34 @@
 } RelayOrder_t;
 
 /**
- * struct RelayHead_t - what the head of an upstream's answer proves
+ * struct RelayHead_t - the parsed head of an upstream's answer
  * @status: HTTP status
- * @names_request: it carries the request's id
- * @sealed: it carries the upstream's signature
- * @not_run: the upstream says that it did not run the request
- * @other_instance: another upstream has the address
- * @is_own: it comes from the upstream that was asked, as far as it tells
- * @weights: version that it ran on; a text of the head, or NULL
- * @notice: what it says of the upstream
+ * @matches_request: the head carries the request's id
+ * @has_signature: the head carries the upstream's signature
+ * @not_run: the upstream states that it did not run the request
+ * @other_instance: another upstream has taken over the address
+ * @is_from_upstream: nothing in the head shows that another upstream answered
+ * @weights: version of weights that the request ran on, or NULL; points into
+ *     the head
+ * @notice: what the answer states about its upstream
  */
 typedef struct {
     int status;
-    gboolean names_request;
-    gboolean sealed;
+    gboolean matches_request;
+    gboolean has_signature;
     gboolean not_run;
     gboolean other_instance;
-    gboolean is_own;
+    gboolean is_from_upstream;
     const char *weights;
     UpstreamNotice_t notice;
 } RelayHead_t;
 
 /**
- * struct RelayUpstreamForm_t - the upstreams' side
- * @notices: how answers say something of their upstream
- * @write_head: the caller's headers and the order, as the upstream reads them
- * @read_head: what an answer's head proves
+ * struct RelayUpstreamForm_t - wire format towards upstreams
+ * @notices: headers of answers that make a statement about their upstream
+ * @write_head: write the head for an upstream from the caller's headers and
+ *     the order
+ * @read_head: parse the head of an answer
  */
 typedef struct {
     UpstreamNoticeForm_t notices;
--- a/src/RelayMove.c
+++ b/src/RelayMove.c
@@ -7,50 +7,51 @@
 #include "RelayDispatch.h"
 #include "RelayRun.h"
 
-/* How often the wait until another upstream is tried beside a silent one may
- * be doubled. */
-#define MAX_BACKOFF_DOUBLINGS 6
+/* The wait before the next hedged attempt doubles at most this many times. */
+#define BACKOFF_DOUBLINGS_MAX 6
 
-/* Why a stream is to move, and what follows from that. */
+/* Reason for a move and the rules that follow from it. */
 typedef struct {
     const char *name;
-    AttemptEnd_t counted_as; /* among the retries */
-    /* The next event must come soon enough to go unnoticed. */
-    gboolean must_be_near;
-    /* Its own engine goes on, so that both run for a while. */
-    gboolean is_bounded;
-    /* In each attempt, rather than again and again. */
-    gboolean is_tried_once;
+    AttemptEnd_t retry_reason; /* label of the retry counter */
+    /* The next engine must be expected to send an event within the route's
+     * longest pause between events. */
+    gboolean needs_short_gap;
+    /* The current engine still runs the stream, so the time during which both
+     * run it is limited by the move_wait_ms setting. */
+    gboolean has_timeout;
+    /* One move for each attempt. */
+    gboolean once_per_attempt;
 } MoveCause_t;
 
 static const MoveCause_t unloading = {
     .name = "unloading",
-    .counted_as = ATTEMPT_MOVED,
-    .must_be_near = TRUE,
-    .is_bounded = TRUE,
-    .is_tried_once = TRUE,
+    .retry_reason = ATTEMPT_MOVED,
+    .needs_short_gap = TRUE,
+    .has_timeout = TRUE,
+    .once_per_attempt = TRUE,
 };
 static const MoveCause_t silence = {
     .name = "silent",
-    .counted_as = ATTEMPT_SILENT,
+    .retry_reason = ATTEMPT_SILENT,
 };
 
 struct RelayMove {
     RelayExchange_t *exchange;
     const MoveCause_t *cause;
-    DispatchQuery_t *ask; /* question to the dispatcher, or NULL */
+    DispatchQuery_t *query; /* query to the dispatcher under way, or NULL */
     DispatchTicket_t ticket;
     RelayAttempt_t *attempt; /* at the next engine, or NULL */
-    gboolean may_have_run;   /* it ended, and is not known not to have run */
+    gboolean may_have_run;   /* @attempt ended and may have run */
     RelayFeedback_t feedback;
-    Upstream_t *upstream; /* of @attempt; held, and counts it */
+    Upstream_t *upstream; /* of @attempt; one reference and in_flight */
     gint64 started_us;
-    struct evbuffer *data; /* of its answer */
+    struct evbuffer *data; /* body that @attempt has received */
     struct event *timeout;
 };
 
 static Context_t *
-context_of(const RelayMove_t *this)
+get_context(const RelayMove_t *this)
 {
     return this->exchange->super.context;
 }
@@ -82,10 +83,10 @@
     g_free(this);
 }
 
-/* What the other engine may have run counts against the route's most, and
- * what it refused against those that are not counted. */
+/* Counts the attempt against the route's limit of attempts, unless it did not
+ * run: such attempts are excluded from the limit (UNCOUNTED_ATTEMPTS_MAX). */
 static void
-note_try(RelayMove_t *this)
+record_attempt(RelayMove_t *this)
 {
     RelayExchange_t *exchange = this->exchange;
     Exchange_t *super = &exchange->super;
@@ -95,35 +96,36 @@
     gboolean may_have_run = this->attempt ? RelayAttempt_wasSent(this->attempt)
                                           : this->may_have_run;
     super->attempts++;
-    exchange->unrun += may_have_run ? 0 : 1;
-    guint doublings = MIN(exchange->unrun, MAX_BACKOFF_DOUBLINGS);
-    exchange->beside_ms =
+    exchange->not_run_attempts += may_have_run ? 0 : 1;
+    guint doublings = MIN(exchange->not_run_attempts, BACKOFF_DOUBLINGS_MAX);
+    exchange->next_hedge_ms =
         Clock_nowMs() +
         (super->context->settings->limits.backoff_ms << doublings);
 }
 
-/* The stream stays where it is. */
+/* Ends the move; the stream stays at its engine. */
 static void
-take_back(RelayMove_t *this, const char *reason)
+cancel_move(RelayMove_t *this, const char *reason)
 {
     log_move(this, "stream_stays", reason);
-    if (this->ask) {
-        Dispatch_cancelQuery(this->ask);
+    if (this->query) {
+        Dispatch_cancelQuery(this->query);
     }
-    note_try(this);
+    record_attempt(this);
     if (this->attempt) {
-        RelayFeedback_settle(&this->feedback);
+        RelayFeedback_clearPending(&this->feedback);
         RelayAttempt_cancel(this->attempt);
     }
-    if (context_of(this)->dispatch) {
-        Dispatch_endTicket(context_of(this)->dispatch, &this->ticket);
+    if (get_context(this)->dispatch) {
+        Dispatch_endTicket(get_context(this)->dispatch, &this->ticket);
     }
     free_move(this);
 }
 
-/* The attempt before it must be over. The move is gone afterwards. */
+/* Makes the move's attempt that of the exchange, whose previous one must have
+ * ended, and frees the move. */
 static void
-hand_over(RelayMove_t *this)
+adopt_attempt(RelayMove_t *this)
 {
     RelayExchange_t *exchange = this->exchange;
     struct evbuffer *data = evbuffer_new();
@@ -138,15 +140,15 @@
     evbuffer_free(data);
 }
 
-/* The attempt before it is given up for the next one. */
+/* Cancels the current attempt and continues with the move's. */
 static void
-leave_attempt(RelayMove_t *this)
+replace_attempt(RelayMove_t *this)
 {
     RelayExchange_t *exchange = this->exchange;
-    StreamMover_remove(context_of(this)->mover, exchange);
+    StreamMover_remove(get_context(this)->mover, exchange);
     RelayRun_cancel(exchange);
     Exchange_noteEnd(&exchange->super, ATTEMPT_MOVED);
-    hand_over(this);
+    adopt_attempt(this);
 }
 
 static void
@@ -163,17 +165,17 @@
     RelayMove_t *this = owner;
     RelayFeedback_noteWeights(&this->feedback, head);
     if (head->status >= HTTP_MOVEPERM) {
-        take_back(this, "failed");
+        cancel_move(this, "failed");
     }
 }
 
-/* The caller's stream is left to the engine that has it. */
+/* The second engine sent an event that is too large. */
 static void
-stay_for_oversize(RelayMove_t *this)
+cancel_oversized(RelayMove_t *this)
 {
-    Context_countOversized(context_of(this), this->exchange->super.id->str,
+    Context_countOversized(get_context(this), this->exchange->super.id->str,
                            this->upstream->name->str);
-    take_back(this, Recovery_endName(ATTEMPT_OVERSIZED));
+    cancel_move(this, Recovery_endName(ATTEMPT_OVERSIZED));
 }
 
 static void
@@ -183,57 +185,58 @@
     evbuffer_add_buffer(this->data, data);
     gsize event = EventPipe_firstLength(this->data);
     gsize size = event > 0 ? event : evbuffer_get_length(this->data);
-    if (size > (gsize)context_of(this)->settings->limits.event_max) {
-        stay_for_oversize(this);
+    if (size > (gsize)get_context(this)->settings->limits.event_max) {
+        cancel_oversized(this);
     }
     else if (event > 0) {
-        leave_attempt(this);
+        replace_attempt(this);
     }
 }
 
-static SilenceStep_t
+static SilenceAction_t
 on_silent(void *owner)
 {
     (void)owner;
     return SILENCE_GIVE_UP;
 }
 
-/* Nothing is left to send: the engine fell silent behind its last event. */
+/* The second engine answered with a complete stream and no event: the silent
+ * engine had sent the last event already. */
 static void
-end_whole(RelayMove_t *this, const RelayHead_t *head)
+end_complete(RelayMove_t *this, const RelayHead_t *head)
 {
     RelayExchange_t *exchange = this->exchange;
-    leave_attempt(this);
-    RelayRun_end(exchange, ATTEMPT_WHOLE, head);
+    replace_attempt(this);
+    RelayRun_endAdopted(exchange, ATTEMPT_WHOLE, head);
 }
 
-/* It ended without an event. */
+/* The move's attempt ended without an event. */
 static void
 on_ended(void *owner, AttemptEnd_t end, const RelayHead_t *head)
 {
     RelayMove_t *this = owner;
     if (end == ATTEMPT_WHOLE && this->cause == &silence) {
-        end_whole(this, head);
+        end_complete(this, head);
         return;
     }
     this->attempt = NULL;
     this->may_have_run = end != ATTEMPT_NOT_RUN && !Recovery_isUnsent(end);
-    RelayFeedback_settle(&this->feedback);
+    RelayFeedback_clearPending(&this->feedback);
     Exchange_noteLost(&this->exchange->super, this->upstream, end);
     if (end == ATTEMPT_OVERSIZED) {
-        stay_for_oversize(this);
+        cancel_oversized(this);
         return;
     }
     if (end == ATTEMPT_NOT_RUN && head) {
         RelayFeedback_noteRefusal(&this->feedback, head);
-        if (context_of(this)->dispatch) {
-            Dispatch_reportRefusal(context_of(this)->dispatch, &this->ticket);
+        if (get_context(this)->dispatch) {
+            Dispatch_reportRefusal(get_context(this)->dispatch, &this->ticket);
         }
     }
     else if (end != ATTEMPT_SILENT) {
-        RelayFeedback_noteReach(&this->feedback, end);
+        RelayFeedback_noteReachability(&this->feedback, end);
     }
-    take_back(this, Recovery_endName(end));
+    cancel_move(this, Recovery_endName(end));
 }
 
 static const RelayAttemptEvents_t attempt_events = {
@@ -249,73 +252,76 @@
 {
     (void)fd;
     (void)what;
-    take_back(data, "silent");
+    cancel_move(data, "silent");
 }
 
 static void
-send_request(RelayMove_t *this, const RelayWish_t *wish,
-             RelayPlacing_t *placing)
+send_request(RelayMove_t *this, const RelayPlacementInput_t *input,
+             RelayDestination_t *destination)
 {
     RelayExchange_t *exchange = this->exchange;
     Exchange_t *super = &exchange->super;
-    this->upstream = Upstream_ref(placing->choice.upstream);
+    this->upstream = Upstream_ref(destination->choice.upstream);
     this->upstream->in_flight++;
     UpstreamRest_noteSent(&this->upstream->rest, Clock_nowMs());
     this->started_us = Clock_nowUs();
     RetryBudget_withdraw(super->context->budget, super->target->str);
     Context_countRetry(super->context,
-                       Recovery_endName(this->cause->counted_as),
+                       Recovery_endName(this->cause->retry_reason),
                        super->target->str, super->customer_class->str);
-    RelayPlacer_prepare(super->context, wish, placing);
-    RelayPlacing_log(placing, super->id->str, &exchange->request);
+    RelayPlacer_prepare(super->context, input, destination);
+    RelayDestination_log(destination, super->id->str, &exchange->request);
     RelayFeedback_begin(&this->feedback, super->context, super->id->str,
-                        placing);
-    this->attempt = RelayRun_send(exchange, placing, &attempt_events, this);
-    if (this->cause->is_bounded) {
+                        destination);
+    this->attempt =
+        RelayRun_send(exchange, destination, &attempt_events, this);
+    if (this->cause->has_timeout) {
         Clock_arm(this->timeout, super->context->settings->relay.move_wait_ms);
     }
 }
 
-/* The pause until its next event must stay one that goes unnoticed. */
+/* Whether the chosen upstream is another one and, if the cause requires that,
+ * expected to send an event within the route's longest pause. */
 static gboolean
-is_near(const RelayExchange_t *exchange, const MoveCause_t *cause,
-        const Choice_t *choice)
+is_acceptable(const RelayExchange_t *exchange, const MoveCause_t *cause,
+              const Choice_t *choice)
 {
     if (!choice->upstream || choice->upstream == exchange->super.upstream) {
         return FALSE;
     }
-    return !cause->must_be_near ||
+    return !cause->needs_short_gap ||
            choice->cost_us <= exchange->route->pause_ms * CLOCK_US_PER_MS;
 }
 
-/* A stream that goes on where it is leaves the room of a limited upstream to
- * requests that have nowhere else to go. */
+/* Skips upstreams with a limit: a stream can stay at its engine, so their
+ * capacity is left to requests that have no other upstream. */
 static void
-choose(const RelayExchange_t *exchange, RelayWish_t *wish,
-       RelayPlacing_t *placing)
+choose_upstream(const RelayExchange_t *exchange, RelayPlacementInput_t *input,
+                RelayDestination_t *destination)
 {
     const Exchange_t *super = &exchange->super;
-    *wish = RelayExchange_wish(exchange);
-    wish->terms = (PlacementTerms_t){
+    *input = RelayExchange_placementInput(exchange);
+    input->terms = (PlacementTerms_t){
         .avoid = super->upstream,
         .spares_limited = TRUE,
     };
-    RelayPlacer_choose(super->context, wish, placing);
+    RelayPlacer_choose(super->context, input, destination);
 }
 
 static void
-send_or_stay(RelayMove_t *this, const RelayWish_t *wish,
-             RelayPlacing_t *placing)
+send_or_cancel(RelayMove_t *this, const RelayPlacementInput_t *input,
+               RelayDestination_t *destination)
 {
     Refusal_t refusal = REFUSAL_COUNT;
     if (!RelayDispatch_isAllowed(this->exchange, &refusal)) {
-        take_back(this, Refusal_spec(refusal)->code);
+        cancel_move(this, Refusal_spec(refusal)->code);
     }
-    else if (!is_near(this->exchange, this->cause, &placing->choice)) {
-        take_back(this, "far");
+    else if (!is_acceptable(this->exchange, this->cause,
+                            &destination->choice)) {
+        cancel_move(this, "far");
     }
     else {
-        send_request(this, wish, placing);
+        send_request(this, input, destination);
     }
 }
 
@@ -324,19 +330,19 @@
               const DispatchTicket_t *ticket)
 {
     RelayMove_t *this = owner;
-    RelayWish_t wish;
-    RelayPlacing_t placing;
-    this->ask = NULL;
+    RelayPlacementInput_t input;
+    RelayDestination_t destination;
+    this->query = NULL;
     this->ticket = *ticket;
-    choose(this->exchange, &wish, &placing);
+    choose_upstream(this->exchange, &input, &destination);
     if (choice->upstream &&
-        Policy_mayUse(&placing.placement, choice->upstream)) {
-        placing.choice = *choice;
+        Policy_mayUse(&destination.placement, choice->upstream)) {
+        destination.choice = *choice;
     }
-    else if (context_of(this)->dispatch) {
-        Dispatch_endTicket(context_of(this)->dispatch, &this->ticket);
+    else if (get_context(this)->dispatch) {
+        Dispatch_endTicket(get_context(this)->dispatch, &this->ticket);
     }
-    send_or_stay(this, &wish, &placing);
+    send_or_cancel(this, &input, &destination);
 }
 
 static RelayMove_t *
@@ -353,41 +359,43 @@
 }
 
 static void
-begin(RelayExchange_t *exchange, const MoveCause_t *cause)
+start_move(RelayExchange_t *exchange, const MoveCause_t *cause)
 {
     Context_t *context = exchange->super.context;
-    RelayWish_t wish;
-    RelayPlacing_t placing;
-    choose(exchange, &wish, &placing);
-    if (!is_near(exchange, cause, &placing.choice)) {
+    RelayPlacementInput_t input;
+    RelayDestination_t destination;
+    choose_upstream(exchange, &input, &destination);
+    if (!is_acceptable(exchange, cause, &destination.choice)) {
         return;
     }
-    if (cause->is_tried_once) {
+    if (cause->once_per_attempt) {
         StreamMover_remove(context->mover, exchange);
     }
     RelayMove_t *this = create_move(exchange, cause);
     exchange->move = this;
-    this->ask = context->dispatch
-                    ? Dispatch_query(context->dispatch, &placing.placement,
-                                     exchange->request.model, &placing.choice,
-                                     on_dispatched, this)
-                    : NULL;
-    if (!this->ask) {
-        send_or_stay(this, &wish, &placing);
+    this->query =
+        context->dispatch
+            ? Dispatch_query(context->dispatch, &destination.placement,
+                             exchange->request.model, &destination.choice,
+                             on_dispatched, this)
+            : NULL;
+    if (!this->query) {
+        send_or_cancel(this, &input, &destination);
     }
 }
 
-/* One that is far is looked at again; else there is one such try for each
- * attempt: where the next engine would not have it, it most likely ends before
- * another one would. Tries beside a silent engine may have used up what its
- * route allows. */
+/* Called again by StreamMover while no other engine is expected to send the
+ * next event soon enough. Once a
+ * move has started, the attempt gets no second one: if that engine refuses the
+ * stream, it will most likely end before another engine takes it. Hedged
+ * attempts may have used up the route's limit of attempts. */
 static void
-leave_engine(void *stream)
+move_from_unloading(void *stream)
 {
     RelayExchange_t *this = stream;
-    if (!this->move && EventPipe_isNumbered(this->events) &&
+    if (!this->move && EventPipe_isNumbered(this->event_pipe) &&
         Exchange_mayRepeat(&this->super)) {
-        begin(this, &unloading);
+        start_move(this, &unloading);
     }
 }
 
@@ -408,11 +416,11 @@
 static const MovableClass_t movable_class = {
     .upstream = movable_upstream,
     .target = movable_target,
-    .move = leave_engine,
+    .move = move_from_unloading,
 };
 
-/* One that has begun: before that its engine would refuse it by itself. Where
- * its route allows no other attempt it stays. */
+/* Called at the first event: before that an engine that is about to load
+ * weights refuses the request itself. */
 void
 RelayMove_allow(RelayExchange_t *this)
 {
@@ -422,23 +430,23 @@
 }
 
 gboolean
-RelayMove_goBeside(RelayExchange_t *this)
+RelayMove_hedge(RelayExchange_t *this)
 {
-    if (!this->events || !RelayAnswer_isBegun(this->answer) ||
-        !EventPipe_isNumbered(this->events)) {
+    if (!this->event_pipe || !RelayAnswer_isHeadSent(this->answer) ||
+        !EventPipe_isNumbered(this->event_pipe)) {
         return FALSE;
     }
-    if (!this->move && Clock_nowMs() >= this->beside_ms) {
-        begin(this, &silence);
+    if (!this->move && Clock_nowMs() >= this->next_hedge_ms) {
+        start_move(this, &silence);
     }
     return TRUE;
 }
 
 void
-RelayMove_noteHeard(RelayExchange_t *this)
+RelayMove_noteEvents(RelayExchange_t *this)
 {
     if (this->move && this->move->cause == &silence) {
-        take_back(this->move, "heard");
+        cancel_move(this->move, "heard");
     }
 }
 
@@ -447,18 +455,18 @@
 {
     StreamMover_remove(this->super.context->mover, this);
     if (this->move) {
-        take_back(this->move, "over");
+        cancel_move(this->move, "over");
     }
 }
 
 gboolean
-RelayMove_complete(RelayExchange_t *this)
+RelayMove_failOver(RelayExchange_t *this)
 {
     if (!this->move || !this->move->attempt || this->super.left ||
         this->super.over) {
         return FALSE;
     }
     StreamMover_remove(this->super.context->mover, this);
-    hand_over(this->move);
+    adopt_attempt(this->move);
     return TRUE;
 }
--- a/src/RelayMove.h
+++ b/src/RelayMove.h
@@ -3,43 +3,47 @@
 /**
  * DOC: RelayMove
  *
- * Takes a relayed stream to another engine: from one that is to load weights
- * (StreamMover.h), where its next event is expected soon enough, and from one
- * that is silent. The request is sent to the other engine beside the attempt
- * under way, which is given up only once the first event of the other one is
- * there. A stream whose next engine refuses it or says nothing stays where it
- * is, and so does one whose silent engine speaks again. Only streams whose
- * events have numbers are moved: two engines may send the same event, and
- * nothing else tells that it has passed.
+ * Moves a relayed stream to another engine, either because its engine is about
+ * to load weights (StreamMover.h) and another one is expected to send the next
+ * event soon enough, or because its engine is silent. The request is sent to
+ * the other engine as a second attempt; the current attempt ends only once the
+ * second one has sent its first event. The stream stays at its engine if the
+ * other engine refuses the request or is silent, or if a silent engine sends
+ * events again. Only streams with numbered events are moved: both engines may
+ * send the same event, and the number is the only way to recognize that it was
+ * forwarded already.
  */
 #include "RelayExchangeState.h"
 
-/** RelayMove_allow() - the stream may be moved from now on, unless its route
- * or the attempts that it has left are against it */
+/** RelayMove_allow() - allow the stream to be moved from now on, if its route
+ * and its remaining attempts permit that */
 void RelayMove_allow(RelayExchange_t *this);
 
 /**
- * RelayMove_goBeside() - the engine of the stream is silent: try another one
- * beside it, unless that is under way or was refused a moment ago
+ * RelayMove_hedge() - the stream's engine is silent: start a hedged attempt at
+ * another one, unless a move is under way or the last one failed a short while
+ * ago
  *
- * Return: FALSE where the caller has nothing of the answer yet, or its events
+ * Return: FALSE if the caller has nothing of the answer yet, or the events
  * have no numbers
  */
-gboolean RelayMove_goBeside(RelayExchange_t *this);
+gboolean RelayMove_hedge(RelayExchange_t *this);
 
-/** RelayMove_noteHeard() - the stream's engine has spoken */
-void RelayMove_noteHeard(RelayExchange_t *this);
+/** RelayMove_noteEvents() - the stream's engine has sent events; cancels a
+ * hedged attempt */
+void RelayMove_noteEvents(RelayExchange_t *this);
 
-/** RelayMove_forbid() - the stream stays where it is, and a move under way is
- * taken back; may be called again */
+/** RelayMove_forbid() - cancel a move under way and revoke RelayMove_allow();
+ * may be called again */
 void RelayMove_forbid(RelayExchange_t *this);
 
 /**
- * RelayMove_complete() - the attempt under way is over and was not whole: go
- * on with the one that was sent beside it
+ * RelayMove_failOver() - the attempt under way ended without a complete
+ * answer: continue with the second one
  *
- * Return: FALSE where there is none
+ * Return: FALSE if there is no second attempt, the caller left or the exchange
+ * is over
  */
-gboolean RelayMove_complete(RelayExchange_t *this);
+gboolean RelayMove_failOver(RelayExchange_t *this);
 
 #endif
--- a/src/RelayParts.c
+++ b/src/RelayParts.c
@@ -11,16 +11,17 @@
 #include "RouteSync.h"
 #include "UpstreamProber.h"
 
-/* A router that starts may use engines with older weights for so long, until
- * a roll-out under way has gone on. */
-#define SETTLING_MS 4500
+/* After its start a router may use engines with older weights for this long,
+ * so that a roll-out under way can proceed. */
+#define STARTUP_GRACE_MS 4500
 
-/* What is left of the time in which leaving must be known: for a slow answer
- * and one repeated read. */
-#define LIST_MARGIN_MS 600
+/* The list is read this long before leaving_limit_ms has passed, which leaves
+ * time for a slow answer and one repeated read. */
+#define LIST_READ_MARGIN_MS 600
 
-/* An answer of an upstream is worth more than a peer's doubt for so long. */
-#define PROOF_AGE_MS 300
+/* A peer's suspicion is ignored if the upstream has answered this router
+ * within this time. */
+#define LIVENESS_MAX_AGE_MS 300
 
 struct RelayParts {
     Context_t *context;
@@ -35,9 +36,9 @@
     HintFlood_t *hints;
 };
 
-/* The model of an upstream is that of its service; one engine has one. */
+/* The model of an upstream is that of its service; an engine has one model. */
 static const char *
-model_of(const RelayParts_t *this, const Upstream_t *upstream)
+find_model(const RelayParts_t *this, const Upstream_t *upstream)
 {
     const RouteConfig_t *config = RouteTable_config(this->context->routes);
     if (!config || upstream->serves->len == 0) {
@@ -53,15 +54,17 @@
 }
 
 static gboolean
-wanted_weights(void *data, const Upstream_t *upstream, WantedWeights_t *out)
+find_wanted_weights(void *data, const Upstream_t *upstream,
+                    WantedWeights_t *out)
 {
     const RelayParts_t *this = data;
-    out->model = model_of(this, upstream);
+    out->model = find_model(this, upstream);
     out->weights = out->model
                        ? NamedWeights_find(this->context->weights, out->model)
                        : NULL;
-    /* What an engine has was named, though a store that has come back older
-     * may not show it: versions only grow, and none is ordered back. */
+    /* An engine's version was named at some time, even if a store that was
+     * restored to an older state does not show it. Versions only grow, so no
+     * engine is ordered to load an older one. */
     guint64 version = Upstream_version(upstream);
     if (!out->weights || version > g_ascii_strtoull(out->weights, NULL, 10)) {
         return FALSE;
@@ -74,7 +77,8 @@
 static gint64
 listing_poll_ms(const RelaySection_t *relay)
 {
-    return MAX(relay->leaving_limit_ms - LIST_MARGIN_MS, LIST_MARGIN_MS);
+    return MAX(relay->leaving_limit_ms - LIST_READ_MARGIN_MS,
+               LIST_READ_MARGIN_MS);
 }
 
 static void
@@ -94,7 +98,7 @@
         .reader_wait_ms = settings->relay.reader_wait_ms,
         .wait_ms = settings->relay.config_wait_ms,
         .unknown_age_ms =
-            MAX(settings->relay.weights_limit_ms - SETTLING_MS, 0),
+            MAX(settings->relay.weights_limit_ms - STARTUP_GRACE_MS, 0),
     };
     this->sync = RouteSync_create(context->base, &sync);
     this->regions = HallRegions_create(settings->router.halls,
@@ -126,7 +130,7 @@
         .log = this->log,
         .epoch = this->epoch,
         .form = form->orders,
-        .wanted = wanted_weights,
+        .wanted = find_wanted_weights,
         .wanted_data = this,
         .upstreams = context->upstreams,
         .membership = context->membership,
@@ -171,12 +175,12 @@
     context->crashes = CrashGuard_create(context->base, &crashes);
 }
 
-/* One doubt is enough for a while: the probe that it starts here tells more
- * than the same doubt on another way. */
+/* Ignores further suspicions for a while: the first one starts a probe, which
+ * tells more than a second report of the same suspicion. */
 static gboolean
-take_doubt(Upstream_t *upstream, gint64 now_ms)
+apply_suspicion(Upstream_t *upstream, gint64 now_ms)
 {
-    if (now_ms - upstream->proved_ms < PROOF_AGE_MS ||
+    if (now_ms - upstream->proved_ms < LIVENESS_MAX_AGE_MS ||
         !Upstream_noteDoubt(upstream, now_ms)) {
         return FALSE;
     }
@@ -185,7 +189,7 @@
 }
 
 static gboolean
-take_upstream_hint(Upstream_t *upstream, const Hint_t *hint, gint64 now_ms)
+apply_upstream_hint(Upstream_t *upstream, const Hint_t *hint, gint64 now_ms)
 {
     g_autofree char *weights = NULL;
     switch (hint->kind) {
@@ -199,7 +203,7 @@
         weights = g_strdup_printf("%u", hint->value);
         return Upstream_noteWeights(upstream, weights);
     case HINT_UNREACHABLE:
-        return take_doubt(upstream, now_ms);
+        return apply_suspicion(upstream, now_ms);
     case HINT_REACHABLE:
         return Upstream_settleDoubt(upstream);
     case HINT_LOAD_SOON:
@@ -210,7 +214,7 @@
 }
 
 static gboolean
-take_hint(void *owner, const Hint_t *hint)
+apply_hint(void *owner, const Hint_t *hint)
 {
     const RelayParts_t *this = owner;
     gint64 now_ms = Clock_nowMs();
@@ -220,16 +224,17 @@
     }
     Upstream_t *upstream =
         UpstreamSet_findHash(this->context->upstreams, hint->subject);
-    return upstream && take_upstream_hint(upstream, hint, now_ms);
+    return upstream && apply_upstream_hint(upstream, hint, now_ms);
 }
 
 static void
-prefer_newest(const void *owner, const char *model, Placement_t *placement)
+fill_model_inputs(const void *owner, const char *model, Placement_t *placement)
 {
-    RelayPlacer_preferNewest(owner, model, placement);
+    RelayPlacer_fillModelInputs(owner, model, placement);
 }
 
-/* Without datagrams each router chooses for itself. */
+/* Without datagrams there is no dispatcher, and each router chooses upstreams
+ * by itself. */
 static Dispatch_t *
 create_dispatch(const Context_t *context)
 {
@@ -239,7 +244,7 @@
         .upstreams = context->upstreams,
         .policy = context->policy,
         .counters = context->counters,
-        .prefer = prefer_newest,
+        .prefer = fill_model_inputs,
         .owner = context,
     };
     return context->datagrams ? Dispatch_create(context->base, &spec) : NULL;
@@ -254,7 +259,7 @@
     context->routes = RouteTable_create();
     context->weights = NamedWeights_create();
     this->hints =
-        HintFlood_create(context->base, context->membership, take_hint, this);
+        HintFlood_create(context->base, context->membership, apply_hint, this);
     context->cache_store = CacheStore_create(this->hints);
     context->forecast = Forecast_create();
     context->pauses = PauseGuard_create();
@@ -332,15 +337,15 @@
 }
 
 static gboolean
-is_of_routes(const RelayParts_t *this, const char *topic)
+is_config_topic(const RelayParts_t *this, const char *topic)
 {
     return strcmp(topic, this->context->form->config_topic) == 0;
 }
 
 static void
-take_part(RelayParts_t *this, Member_t *from, const Wt__TopicPart *part)
+receive_part(RelayParts_t *this, Member_t *from, const Wt__TopicPart *part)
 {
-    if (is_of_routes(this, part->topic)) {
+    if (is_config_topic(this, part->topic)) {
         RouteSync_takePart(this->sync, part);
     }
     else {
@@ -349,31 +354,33 @@
 }
 
 static void
-take_ask(RelayParts_t *this, Member_t *from, const Wt__TopicAsk *ask)
+receive_topic_query(RelayParts_t *this, Member_t *from,
+                    const Wt__TopicAsk *query)
 {
-    if (is_of_routes(this, ask->topic)) {
-        RouteSync_answer(this->sync, from, ask);
+    if (is_config_topic(this, query->topic)) {
+        RouteSync_answer(this->sync, from, query);
     }
     else {
-        UpstreamListing_answer(this->context->listing, from, ask);
+        UpstreamListing_answer(this->context->listing, from, query);
     }
 }
 
 static void
-take_list_ask(RelayParts_t *this, Member_t *from, const Wt__ListAsk *ask)
+receive_list_query(RelayParts_t *this, Member_t *from,
+                   const Wt__ListAsk *query)
 {
-    if (is_of_routes(this, ask->topic)) {
-        RouteSync_takeAsk(this->sync, from, ask);
+    if (is_config_topic(this, query->topic)) {
+        RouteSync_takeAsk(this->sync, from, query);
     }
     else {
-        UpstreamListing_takeAsk(this->context->listing, from, ask);
+        UpstreamListing_takeAsk(this->context->listing, from, query);
     }
 }
 
 static void
-take_list_page(RelayParts_t *this, Member_t *from, const Wt__ListPage *page)
+receive_list_page(RelayParts_t *this, Member_t *from, const Wt__ListPage *page)
 {
-    if (is_of_routes(this, page->topic)) {
+    if (is_config_topic(this, page->topic)) {
         RouteSync_takePage(this->sync, from, page);
     }
     else {
@@ -382,15 +389,16 @@
 }
 
 void
-RelayParts_introduce(RelayParts_t *this, Member_t *member)
+RelayParts_syncPeer(RelayParts_t *this, Member_t *member)
 {
     RouteSync_introduce(this->sync, member);
 }
 
-/* Configuration and claims are the platform's matter here. */
+/* Ignores messages about claims and native configuration: a platform provides
+ * both itself. */
 void
-RelayParts_take(RelayParts_t *this, Member_t *from,
-                const Wt__PeerMessage *message)
+RelayParts_receive(RelayParts_t *this, Member_t *from,
+                   const Wt__PeerMessage *message)
 {
     switch (message->body_case) {
     case WT__PEER_MESSAGE__BODY_HINTS:
@@ -400,16 +408,16 @@
         LoadShare_receive(this->load_share, from->name->str, message->loads);
         break;
     case WT__PEER_MESSAGE__BODY_TOPIC_PART:
-        take_part(this, from, message->topic_part);
+        receive_part(this, from, message->topic_part);
         break;
     case WT__PEER_MESSAGE__BODY_TOPIC_ASK:
-        take_ask(this, from, message->topic_ask);
+        receive_topic_query(this, from, message->topic_ask);
         break;
     case WT__PEER_MESSAGE__BODY_LIST_ASK:
-        take_list_ask(this, from, message->list_ask);
+        receive_list_query(this, from, message->list_ask);
         break;
     case WT__PEER_MESSAGE__BODY_LIST_PAGE:
-        take_list_page(this, from, message->list_page);
+        receive_list_page(this, from, message->list_page);
         break;
     case WT__PEER_MESSAGE__BODY_CONFIG_CURRENT:
         RouteSync_take(this->sync, from, message->config_current);
--- a/src/RelayPlacer.c
+++ b/src/RelayPlacer.c
@@ -5,29 +5,31 @@
 #include "Log.h"
 #include "PrefixSupply.h"
 
-/* A request that still waits at an engine with older weights is taken back so
- * long before it must not begin there: names reach routers late. */
-#define QUEUE_MARGIN_MS 500
+/* A request that waits in the queue of an engine with older weights is taken
+ * back this long before weights_limit_ms, as routers learn of newer versions
+ * late. */
+#define QUEUE_REMOVAL_MARGIN_MS 500
 #define BITS_PER_BYTE 8
 
-/* Mixes the identity of the parts so far with the next one. */
+/* Multiplier of the hash over the identities of a prompt's parts. */
 #define PART_MULTIPLIER G_GUINT64_CONSTANT(0x9E3779B97F4A7C15)
 
 static SaltInput_t
-salt_input(const RelayWish_t *wish, const char *weights)
+make_salt_input(const RelayPlacementInput_t *input, const char *weights)
 {
-    gboolean walled = wish->customer && !wish->customer->shares_cache;
+    gboolean is_isolated = input->customer && !input->customer->shares_cache;
     return (SaltInput_t){
-        .customer = walled ? wish->customer->name->str : "",
-        .model = wish->request->model ? wish->request->model : "",
+        .customer = is_isolated ? input->customer->name->str : "",
+        .model = input->request->model ? input->request->model : "",
         .weights = weights,
         .adapter = "",
         .adapter_weights = "",
     };
 }
 
-/* A part is found only behind all parts before it, so that its identity
- * holds theirs. The last part is the request's own and shared with none. */
+/* A cached part is usable only after the same preceding parts, so the identity
+ * of a level includes theirs. The last part belongs to this request alone and
+ * is shared with no other. */
 static void
 fill_levels(Placement_t *placement, const RelayRequest_t *request,
             guint64 seed)
@@ -46,14 +48,14 @@
 }
 
 static double
-us_per_token(guint token_bytes, guint link_mbit)
+transfer_us_per_token(guint token_bytes, guint link_mbit)
 {
-    /* Bits over Mbit a second are microseconds. */
+    /* Bits divided by Mbit/s give microseconds. */
     return link_mbit > 0 ? (double)token_bytes * BITS_PER_BYTE / link_mbit : 0;
 }
 
 static void
-set_copies(const Context_t *context, const RouteConfig_t *config)
+update_store_halls(const Context_t *context, const RouteConfig_t *config)
 {
     g_autoptr(GPtrArray) halls = g_ptr_array_new();
     for (guint i = 0; i < config->kv_stores->len; i++) {
@@ -63,9 +65,9 @@
     CacheStore_setCopies(context->cache_store, halls);
 }
 
-/* Sizes and speeds as the configuration has them. */
+/* Sizes and link speeds from the configuration. */
 static void
-fill_sizes(const Context_t *context, Placement_t *placement)
+fill_transfer_costs(const Context_t *context, Placement_t *placement)
 {
     const RouteConfig_t *config = RouteTable_config(context->routes);
     const RouteService_t *service =
@@ -73,26 +75,26 @@
     if (!service) {
         return;
     }
-    set_copies(context, config);
+    update_store_halls(context, config);
     placement->short_share = PauseGuard_share(context->pauses);
     placement->cache_tokens = service->cache_tokens;
     placement->move_us_per_token =
-        us_per_token(service->token_bytes, service->link_mbit);
+        transfer_us_per_token(service->token_bytes, service->link_mbit);
     if (config->kv_stores->len > 0) {
         const RouteKvStore_t *store = g_ptr_array_index(config->kv_stores, 0);
         placement->store_us_per_token =
-            us_per_token(service->token_bytes, store->link_mbit);
+            transfer_us_per_token(service->token_bytes, store->link_mbit);
     }
 }
 
-/* Answers on weights that have been replaced lose their worth with time; in
- * the end they must not be given at all. */
+/* An answer on replaced weights loses value with the time since the newer ones
+ * were named, and after weights_limit_ms none may begin. */
 void
-RelayPlacer_preferNewest(const Context_t *context, const char *model,
-                         Placement_t *placement)
+RelayPlacer_fillModelInputs(const Context_t *context, const char *model,
+                            Placement_t *placement)
 {
     placement->cache_store = context->cache_store;
-    fill_sizes(context, placement);
+    fill_transfer_costs(context, placement);
     if (!model) {
         return;
     }
@@ -106,22 +108,22 @@
 }
 
 gboolean
-RelayPlacer_isOverdue(const Context_t *context, const char *model,
-                      const Upstream_t *upstream)
+RelayPlacer_hasOverdueWeights(const Context_t *context, const char *model,
+                              const Upstream_t *upstream)
 {
     if (!model) {
         return FALSE;
     }
-    guint64 least = NamedWeights_due(
+    guint64 version_min = NamedWeights_due(
         context->weights, model,
-        context->settings->relay.weights_limit_ms - QUEUE_MARGIN_MS,
+        context->settings->relay.weights_limit_ms - QUEUE_REMOVAL_MARGIN_MS,
         Clock_nowMs());
-    return Upstream_version(upstream) < least;
+    return Upstream_version(upstream) < version_min;
 }
 
 gint64
-RelayPlacer_overdueInMs(const Context_t *context, const char *model,
-                        const Upstream_t *upstream)
+RelayPlacer_msUntilOverdue(const Context_t *context, const char *model,
+                           const Upstream_t *upstream)
 {
     if (!model) {
         return G_MAXINT64;
@@ -129,7 +131,7 @@
     gint64 lag_ms = NamedWeights_lagMs(
         context->weights, model, Upstream_version(upstream), Clock_nowMs());
     gint64 limit_ms = context->settings->relay.weights_limit_ms;
-    return MAX(limit_ms - QUEUE_MARGIN_MS - lag_ms, 0);
+    return MAX(limit_ms - QUEUE_REMOVAL_MARGIN_MS - lag_ms, 0);
 }
 
 static void
@@ -138,9 +140,9 @@
     g_snprintf(out, RELAY_ADDRESS_SIZE, "%s:%u", address->host, address->port);
 }
 
-/* Each prefix has one store, the same for all routers. */
+/* The store of a prefix; all routers compute the same one. */
 static const RouteKvStore_t *
-store_of(const Context_t *context, guint64 prefix)
+find_store(const Context_t *context, guint64 prefix)
 {
     const RouteConfig_t *config = RouteTable_config(context->routes);
     guint count = config ? config->kv_stores->len : 0;
@@ -149,10 +151,11 @@
                      : NULL;
 }
 
-/* What is kept nowhere is saved by the request that computes it. */
+/* A prefix that the store does not have is saved by the request that computes
+ * it. */
 static void
-save_to_store(const Context_t *context, const RouteKvStore_t *store,
-              RelayPlacing_t *out)
+request_save(const Context_t *context, const RouteKvStore_t *store,
+             RelayDestination_t *out)
 {
     CacheStore_t *cache = context->cache_store;
     gint64 now_ms = out->placement.now_ms;
@@ -162,11 +165,11 @@
     }
 }
 
-/* Where it is held, or may be, another place is named all the same: what was
- * known may be out of date, a miss costs a millisecond, and even where the
- * whole prefix is new the store keeps what it begins with. */
+/* Names a source even if the engine should hold the prefix or nobody is known
+ * to: this router's knowledge may be out of date, a miss costs a millisecond,
+ * and the store may have the beginning of a new prefix. */
 static void
-fetch_from(const RouteKvStore_t *store, RelayPlacing_t *out)
+select_fetch_source(const RouteKvStore_t *store, RelayDestination_t *out)
 {
     const Supply_t *supply = &out->choice.supply;
     gboolean prefers_store = store && supply->kind != SUPPLY_ENGINE;
@@ -182,61 +185,62 @@
 }
 
 static void
-use_caches(const Context_t *context, RelayPlacing_t *out)
+select_caches(const Context_t *context, RelayDestination_t *out)
 {
     const Placement_t *placement = &out->placement;
     const Choice_t *choice = &out->choice;
     guint shared = Placement_sharedLevel(placement);
     if (placement->level_count < 2 ||
         placement->level_tokens[shared] < PREFIX_SUPPLY_TOKENS_MIN) {
-        fetch_from(NULL, out);
+        select_fetch_source(NULL, out);
         return;
     }
     out->saved_prefix = CacheStore_prefix(placement->levels[shared],
                                           choice->upstream->weights);
-    const RouteKvStore_t *store = store_of(context, out->saved_prefix);
-    fetch_from(store, out);
+    const RouteKvStore_t *store = find_store(context, out->saved_prefix);
+    select_fetch_source(store, out);
     if (store) {
-        save_to_store(context, store, out);
+        request_save(context, store, out);
     }
 }
 
 static void
-choose_by_prefix(const Context_t *context, const RelayWish_t *wish,
-                 RelayPlacing_t *out)
+choose_by_prefix(const Context_t *context, const RelayPlacementInput_t *input,
+                 RelayDestination_t *out)
 {
     GBytes *key = context->settings->keys.salt;
-    SaltInput_t input = salt_input(wish, "");
-    RelayPlacer_preferNewest(context, wish->request->model, &out->placement);
-    guint64 seed = Salt_make(&input, key, out->salt);
-    fill_levels(&out->placement, wish->request, seed);
+    SaltInput_t salt_input = make_salt_input(input, "");
+    RelayPlacer_fillModelInputs(context, input->request->model,
+                                &out->placement);
+    guint64 seed = Salt_make(&salt_input, key, out->salt);
+    fill_levels(&out->placement, input->request, seed);
     out->placement.groups =
         context->dispatch ? Dispatch_countGroups(context->dispatch,
                                                  out->placement.serving->len)
                           : 1;
     out->placement.run_us =
-        RunTimes_expectedUs(context->run_times, wish->route->name->str);
-    if (wish->route->objective_ms > 0) {
+        RunTimes_expectedUs(context->run_times, input->route->name->str);
+    if (input->route->objective_ms > 0) {
         out->placement.latest_us =
             MAX(LoadShed_latestUs(
-                    wish->route->objective_ms,
-                    Forecast_spreadUs(context->forecast, wish->service)),
+                    input->route->objective_ms,
+                    Forecast_spreadUs(context->forecast, input->service)),
                 1);
     }
     out->choice = Policy_choose(context->policy, &out->placement);
 }
 
 void
-RelayPlacer_choose(const Context_t *context, const RelayWish_t *wish,
-                   RelayPlacing_t *out)
+RelayPlacer_choose(const Context_t *context,
+                   const RelayPlacementInput_t *input, RelayDestination_t *out)
 {
     const Settings_t *settings = context->settings;
-    *out = (RelayPlacing_t){
+    *out = (RelayDestination_t){
         .placement =
             {
-                .target = wish->service,
+                .target = input->service,
                 .serving = UpstreamSet_serving(context->upstreams,
-                                               ROLE_SERVICE, wish->service),
+                                               ROLE_SERVICE, input->service),
                 .generation = UpstreamSet_generation(context->upstreams),
                 .hall = settings->router.hall->str,
                 .region = settings->router.region->str,
@@ -244,9 +248,9 @@
                 .now_ms = Clock_nowMs(),
             },
     };
-    Placement_setTerms(&out->placement, &wish->terms);
-    if (wish->route->by_prefix) {
-        choose_by_prefix(context, wish, out);
+    Placement_setTerms(&out->placement, &input->terms);
+    if (input->route->by_prefix) {
+        choose_by_prefix(context, input, out);
     }
     else {
         out->choice = Policy_choose(context->service_policy, &out->placement);
@@ -254,14 +258,15 @@
 }
 
 void
-RelayPlacer_prepare(const Context_t *context, const RelayWish_t *wish,
-                    RelayPlacing_t *out)
+RelayPlacer_prepare(const Context_t *context,
+                    const RelayPlacementInput_t *input,
+                    RelayDestination_t *out)
 {
-    if (wish->route->by_prefix && out->choice.upstream) {
-        SaltInput_t input =
-            salt_input(wish, out->choice.upstream->weights->str);
-        Salt_make(&input, context->settings->keys.salt, out->salt);
-        use_caches(context, out);
+    if (input->route->by_prefix && out->choice.upstream) {
+        SaltInput_t salt_input =
+            make_salt_input(input, out->choice.upstream->weights->str);
+        Salt_make(&salt_input, context->settings->keys.salt, out->salt);
+        select_caches(context, out);
         Policy_begin(context->policy, &out->placement, &out->choice);
         PauseGuard_noteWork(context->pauses,
                             PrefixSupply_isShort(&out->placement),
@@ -269,7 +274,7 @@
     }
 }
 
-/* Identities of the parts of the prompt and their lengths. */
+/* Logs the parts of the prompt as identity:tokens. */
 static void
 log_parts(const RelayRequest_t *request)
 {
@@ -283,7 +288,7 @@
 }
 
 static void
-log_upstream(const RelayPlacing_t *this)
+log_upstream(const RelayDestination_t *this)
 {
     const Upstream_t *upstream = this->choice.upstream;
     Log_number("in_flight", upstream->in_flight);
@@ -294,8 +299,8 @@
 }
 
 void
-RelayPlacing_log(const RelayPlacing_t *this, const char *request_id,
-                 const RelayRequest_t *request)
+RelayDestination_log(const RelayDestination_t *this, const char *request_id,
+                     const RelayRequest_t *request)
 {
     const Upstream_t *upstream = this->choice.upstream;
     Log_begin(LOG_LEVEL_DEBUG, "request_placed");
--- a/src/RelayPlacer.h
+++ b/src/RelayPlacer.h
@@ -3,25 +3,26 @@
 /**
  * DOC: RelayPlacer
  *
- * Chooses an upstream for a relayed request: by the parts of its prompt
- * where its route says so, else by load. It also names the cache salt, which
- * holds the customer, unless it shares, and the version of weights that the
- * chosen engine has, so that no part of another wall or version is used.
+ * Chooses an upstream for a relayed request: by the parts of its prompt if its
+ * route says so, else by load. It also computes the cache salt from the model,
+ * the chosen engine's version of weights and, unless the customer shares its
+ * cache, the customer, so that no cached prefix of another customer or version
+ * is used.
  */
 #include "Context.h"
 #include "RelayForm.h"
 #include "Salt.h"
 
-/** Longest IP number, a colon and a port */
+/** Size of an IP address, a colon and a port as text */
 #define RELAY_ADDRESS_SIZE (ADDRESS_HOST_SIZE + 6)
 
 /**
- * struct RelayWish_t - a request that wants an upstream
- * @route: its route
- * @service: of the route's targets
- * @customer: whose it is, or NULL
- * @request: what its head says
- * @terms: which upstreams it may use
+ * struct RelayPlacementInput_t - a request that an upstream is chosen for
+ * @route: route of the request
+ * @service: service that was picked from the route's targets
+ * @customer: customer of the request, or NULL
+ * @request: the parsed head
+ * @terms: which upstreams the request may use
  */
 typedef struct {
     const Route_t *route;
@@ -29,16 +30,17 @@
     const RouteCustomer_t *customer;
     const RelayRequest_t *request;
     PlacementTerms_t terms;
-} RelayWish_t;
+} RelayPlacementInput_t;
 
 /**
- * struct RelayPlacing_t - where it goes; valid until the loop runs on
- * @placement: what was weighed, for Policy_learn()
- * @choice: the upstream, or none
+ * struct RelayDestination_t - where a request is sent; valid until the end of
+ * the loop iteration
+ * @placement: inputs of the choice, for Policy_learn()
+ * @choice: the chosen upstream, or none
  * @salt: cache salt; empty for a plain service
- * @fetch_from: address to take cached prefixes from; empty for none
- * @save_to: address to keep them at; empty for none
- * @saved_prefix: identity of what is kept there
+ * @fetch_from: address to fetch cached prefixes from; empty for none
+ * @save_to: address to save the computed prefix at; empty for none
+ * @saved_prefix: identity of the prefix that may be saved
  */
 typedef struct {
     Placement_t placement;
@@ -47,42 +49,50 @@
     char fetch_from[RELAY_ADDRESS_SIZE];
     char save_to[RELAY_ADDRESS_SIZE];
     guint64 saved_prefix;
-} RelayPlacing_t;
+} RelayDestination_t;
 
 /**
- * RelayPlacer_isOverdue() - whether an answer must not begin there any more
- * @model: that is asked for, or NULL
+ * RelayPlacer_hasOverdueWeights() - whether the upstream's weights are too old
+ * for an answer to begin there
+ * @model: requested model, or NULL
  *
- * A request that waits in an engine's queue may still be taken back then.
+ * Holds early enough to take a request back from the engine's queue.
  */
-gboolean RelayPlacer_isOverdue(const Context_t *context, const char *model,
-                               const Upstream_t *upstream);
+gboolean RelayPlacer_hasOverdueWeights(const Context_t *context,
+                                       const char *model,
+                                       const Upstream_t *upstream);
 
 /**
- * RelayPlacer_overdueInMs() - how long until that may hold at the soonest
+ * RelayPlacer_msUntilOverdue() - shortest time until
+ * RelayPlacer_hasOverdueWeights() may hold
  *
- * Newer weights may be named at any time from now on.
+ * Newer weights may be named at any time.
  *
- * Return: G_MAXINT64 without a model
+ * Return: time in ms; G_MAXINT64 without a model
  */
-gint64 RelayPlacer_overdueInMs(const Context_t *context, const char *model,
-                               const Upstream_t *upstream);
+gint64 RelayPlacer_msUntilOverdue(const Context_t *context, const char *model,
+                                  const Upstream_t *upstream);
 
-/** RelayPlacer_preferNewest() - fill in which weights are wanted of a model,
- * and what is kept beside the engines; @model may be NULL */
-void RelayPlacer_preferNewest(const Context_t *context, const char *model,
-                              Placement_t *placement);
+/** RelayPlacer_fillModelInputs() - fill in the wanted weights of a model and
+ * the state of the prefix store; @model may be NULL */
+void RelayPlacer_fillModelInputs(const Context_t *context, const char *model,
+                                 Placement_t *placement);
 
-/** RelayPlacer_choose() - choose an upstream; nothing else is filled in */
-void RelayPlacer_choose(const Context_t *context, const RelayWish_t *wish,
-                        RelayPlacing_t *out);
+/** RelayPlacer_choose() - choose an upstream; fills in @placement, @choice and
+ * a salt that does not depend on the upstream */
+void RelayPlacer_choose(const Context_t *context,
+                        const RelayPlacementInput_t *input,
+                        RelayDestination_t *out);
 
-/** RelayPlacer_prepare() - what the upstream that was chosen is told */
-void RelayPlacer_prepare(const Context_t *context, const RelayWish_t *wish,
-                         RelayPlacing_t *out);
+/** RelayPlacer_prepare() - fill in the salt and the cache addresses for the
+ * chosen upstream, and count the request there */
+void RelayPlacer_prepare(const Context_t *context,
+                         const RelayPlacementInput_t *input,
+                         RelayDestination_t *out);
 
-/** RelayPlacing_log() - a line of what was chosen and why, at level debug */
-void RelayPlacing_log(const RelayPlacing_t *this, const char *request_id,
-                      const RelayRequest_t *request);
+/** RelayDestination_log() - log the choice and its reason at level debug */
+void RelayDestination_log(const RelayDestination_t *this,
+                          const char *request_id,
+                          const RelayRequest_t *request);
 
 #endif
--- a/src/RelayRun.c
+++ b/src/RelayRun.c
@@ -17,15 +17,16 @@
 {
     RelayExchange_t *this = owner;
     RelayFeedback_noteWeights(&this->feedback, head);
-    this->is_stream = this->events && head->status < HTTP_MOVEPERM;
-    evbuffer_drain(this->body, evbuffer_get_length(this->body));
-    if (head->status < HTTP_INTERNAL || !RelayAnswer_isBegun(this->answer)) {
+    this->is_stream = this->event_pipe && head->status < HTTP_MOVEPERM;
+    evbuffer_drain(this->answer_body, evbuffer_get_length(this->answer_body));
+    if (head->status < HTTP_INTERNAL ||
+        !RelayAnswer_isHeadSent(this->answer)) {
         RelayAnswer_setHead(this->answer, head->status, headers);
     }
 }
 
 static void
-note_first_event(RelayExchange_t *this)
+record_first_event(RelayExchange_t *this)
 {
     TraceAttempt_t *trace = this->super.attempt_trace;
     gint64 passed_us = Clock_nowUs() - this->super.started_us;
@@ -38,7 +39,7 @@
                                       &this->ticket,
                                       passed_us - trace->started_us);
         }
-        this->run_events->begun(this);
+        this->run_events->first_event(this);
     }
     if (this->first_us == 0) {
         this->first_us = passed_us;
@@ -48,35 +49,37 @@
 }
 
 static void
-note_pause(RelayExchange_t *this)
+record_pause(RelayExchange_t *this)
 {
     gint64 now_us = Clock_nowUs();
-    if (this->event_us != 0) {
-        this->pause_us = MAX(this->pause_us, now_us - this->event_us);
+    if (this->last_event_us != 0) {
+        this->max_pause_us =
+            MAX(this->max_pause_us, now_us - this->last_event_us);
     }
-    this->event_us = now_us;
+    this->last_event_us = now_us;
 }
 
 static void
-pass_events(RelayExchange_t *this)
+forward_events(RelayExchange_t *this)
 {
-    note_first_event(this);
-    note_pause(this);
-    this->run_events->heard(this);
+    record_first_event(this);
+    record_pause(this);
+    this->run_events->events_received(this);
     RelayExchange_closeIfStopping(this);
-    RelayAnswer_send(this->answer, this->passing);
+    RelayAnswer_sendData(this->answer, this->outgoing);
     if (RelayAnswer_isFull(this->answer)) {
         RelayAttempt_hold(this->attempt, TRUE);
     }
 }
 
-/* It is passed on once it is whole, so that its memory must be bounded. */
+/* An answer that is not a stream is buffered until it is complete, so its size
+ * is limited. */
 static void
-keep_data(RelayExchange_t *this, struct evbuffer *data)
+buffer_data(RelayExchange_t *this, struct evbuffer *data)
 {
-    gsize most = (gsize)this->super.context->settings->limits.answer_max;
-    evbuffer_add_buffer(this->body, data);
-    if (evbuffer_get_length(this->body) > most) {
+    gsize size_max = (gsize)this->super.context->settings->limits.answer_max;
+    evbuffer_add_buffer(this->answer_body, data);
+    if (evbuffer_get_length(this->answer_body) > size_max) {
         RelayAttempt_fail(this->attempt, ATTEMPT_OVERSIZED);
     }
 }
@@ -86,13 +89,13 @@
 {
     RelayExchange_t *this = owner;
     if (!this->is_stream) {
-        keep_data(this, data);
+        buffer_data(this, data);
         return;
     }
-    if (EventPipe_feed(this->events, data, this->passing) > 0) {
-        pass_events(this);
+    if (EventPipe_feed(this->event_pipe, data, this->outgoing) > 0) {
+        forward_events(this);
     }
-    if (EventPipe_isOverfull(this->events)) {
+    if (EventPipe_isOverfull(this->event_pipe)) {
         RelayAttempt_fail(this->attempt, ATTEMPT_OVERSIZED);
     }
 }
@@ -102,22 +105,22 @@
 {
     RelayExchange_closeIfStopping(this);
     if (this->is_stream) {
-        PauseGuard_noteStream(this->super.context->pauses, this->pause_us,
+        PauseGuard_noteStream(this->super.context->pauses, this->max_pause_us,
                               this->route->pause_ms);
         RunTimes_note(this->super.context->run_times, this->route->name->str,
                       Clock_nowUs() - this->super.started_us - this->first_us);
-        EventPipe_flush(this->events, this->passing);
-        RelayAnswer_send(this->answer, this->passing);
-        RelayAnswer_finish(this->answer);
+        EventPipe_flush(this->event_pipe, this->outgoing);
+        RelayAnswer_sendData(this->answer, this->outgoing);
+        RelayAnswer_finishStream(this->answer);
     }
     else {
-        RelayAnswer_whole(this->answer, this->body);
+        RelayAnswer_sendComplete(this->answer, this->answer_body);
     }
     Exchange_finish(&this->super);
 }
 
 static void
-tell_dispatcher(RelayExchange_t *this, AttemptEnd_t end)
+notify_dispatcher(RelayExchange_t *this, AttemptEnd_t end)
 {
     Dispatch_t *dispatch = this->super.context->dispatch;
     if (end == ATTEMPT_NOT_RUN && dispatch) {
@@ -127,59 +130,59 @@
 }
 
 static void
-note_end(RelayExchange_t *this, AttemptEnd_t end, const RelayHead_t *head)
+record_end(RelayExchange_t *this, AttemptEnd_t end, const RelayHead_t *head)
 {
     if (end == ATTEMPT_NOT_RUN && head) {
         RelayFeedback_noteRefusal(&this->feedback, head);
     }
     if (end == ATTEMPT_NOT_RUN || Recovery_isUnsent(end)) {
-        this->unrun++;
+        this->not_run_attempts++;
     }
-    RelayFeedback_noteReach(&this->feedback, end);
+    RelayFeedback_noteReachability(&this->feedback, end);
     RelayFeedback_noteEnd(&this->feedback);
     Exchange_noteEnd(&this->super, end);
 }
 
-/* Behind a part of a stream only its rest may follow: another answer would put
- * a second head into it. */
+/* Once a part of a stream was sent, only its remainder can follow: any other
+ * answer has a head of its own, which can't be sent any more. */
 static AttemptEnd_t
-end_for_caller(const RelayExchange_t *this, AttemptEnd_t end)
+adjust_end(const RelayExchange_t *this, AttemptEnd_t end)
 {
-    gboolean fits = this->is_stream || !RelayAnswer_isBegun(this->answer);
+    gboolean fits = this->is_stream || !RelayAnswer_isHeadSent(this->answer);
     return end == ATTEMPT_WHOLE && !fits ? ATTEMPT_BAD_ANSWER : end;
 }
 
 static void
-on_ended(void *owner, AttemptEnd_t own_end, const RelayHead_t *head)
+on_ended(void *owner, AttemptEnd_t attempt_end, const RelayHead_t *head)
 {
     RelayExchange_t *this = owner;
-    AttemptEnd_t end = end_for_caller(this, own_end);
-    tell_dispatcher(this, end);
+    AttemptEnd_t end = adjust_end(this, attempt_end);
+    notify_dispatcher(this, end);
     this->attempt = NULL;
-    this->has_answer = end == ATTEMPT_FAILED;
-    note_end(this, end, head);
-    if (end != ATTEMPT_WHOLE && this->run_events->broke_off(this)) {
+    this->has_upstream_error = end == ATTEMPT_FAILED;
+    record_end(this, end, head);
+    if (end != ATTEMPT_WHOLE && this->run_events->fail_over(this)) {
         return;
     }
-    this->run_events->over(this);
+    this->run_events->ended(this);
     if (end == ATTEMPT_WHOLE) {
         finish(this);
         return;
     }
-    if (this->events) {
-        EventPipe_restart(this->events);
+    if (this->event_pipe) {
+        EventPipe_restart(this->event_pipe);
     }
     Exchange_recover(&this->super, end, NULL);
 }
 
 static void
-log_kept(const RelayExchange_t *this)
+log_attempt_kept(const RelayExchange_t *this)
 {
     const Exchange_t *super = &this->super;
     g_autofree char *config = RouteTable_describe(super->context->routes);
     Log_begin(LOG_LEVEL_INFO, "attempt_kept");
     Log_text("request", super->id->str);
-    Log_text("reason", Refusal_spec(this->kept_for)->code);
+    Log_text("reason", Refusal_spec(this->keep_reason)->code);
     Log_text("upstream", super->upstream->name->str);
     Log_text("config", config);
     Log_number("proof_age_ms", Clock_nowMs() - super->upstream->proved_ms);
@@ -187,26 +190,27 @@
     Log_end();
 }
 
-/* Where no attempt may follow, giving up would cut the answer or refuse what
- * the upstream may yet answer: with keys revoked beside silent engines,
- * streams ended in the middle. */
+/* If no attempt may follow, the silent one is kept: ending it would truncate
+ * the answer or refuse a request that the upstream may still answer. With keys
+ * revoked while engines were silent, streams would otherwise end in the
+ * middle. */
 static gboolean
-may_follow(RelayExchange_t *this)
+may_retry(RelayExchange_t *this)
 {
     Refusal_t refusal = REFUSAL_COUNT;
-    if (this->run_events->may_follow(this, &refusal)) {
-        this->kept_for = REFUSAL_COUNT;
+    if (this->run_events->may_retry(this, &refusal)) {
+        this->keep_reason = REFUSAL_COUNT;
         return TRUE;
     }
-    if (this->kept_for != refusal) {
-        this->kept_for = refusal;
-        log_kept(this);
+    if (this->keep_reason != refusal) {
+        this->keep_reason = refusal;
+        log_attempt_kept(this);
     }
     return FALSE;
 }
 
-/* It is looked at only as weights may be overdue; the engine may take longer
- * to its first token. */
+/* The silence timeout may be shortened to check for overdue weights
+ * (first_data_timeout_ms()); the engine still has first_token_timeout_ms. */
 static gboolean
 has_time_left(const Exchange_t *super)
 {
@@ -216,29 +220,29 @@
                CLOCK_US_PER_MS;
 }
 
-/* A silent upstream is given up only once a probe has stayed unanswered as
- * well, and where the request may go elsewhere; a busy one is waited for, as
- * the request would lose its place there. */
-static SilenceStep_t
+/* A silent upstream is given up only if a probe was unanswered as well and the
+ * request may be sent to another upstream. A busy upstream is waited for, as
+ * the request would lose its place in the queue. */
+static SilenceAction_t
 on_silent(void *owner)
 {
     RelayExchange_t *this = owner;
     const Exchange_t *super = &this->super;
-    gboolean awaits_engine = this->events && this->route->by_prefix &&
-                             RelayAnswer_request(this->answer) &&
-                             super->attempt_trace->first_token_us == 0;
-    if (awaits_engine &&
-        RelayPlacer_isOverdue(super->context, this->request.model,
-                              super->upstream)) {
+    gboolean awaits_first_token = this->event_pipe && this->route->by_prefix &&
+                                  RelayAnswer_request(this->answer) &&
+                                  super->attempt_trace->first_token_us == 0;
+    if (awaits_first_token &&
+        RelayPlacer_hasOverdueWeights(super->context, this->request.model,
+                                      super->upstream)) {
         return SILENCE_TAKE_BACK;
     }
-    if (awaits_engine && has_time_left(super)) {
+    if (awaits_first_token && has_time_left(super)) {
         return SILENCE_WAIT;
     }
-    gboolean may_go = RelayFeedback_noteSilence(&this->feedback) &&
-                      Exchange_mayRepeat(super) && may_follow(this);
-    return may_go && !this->run_events->go_beside(this) ? SILENCE_GIVE_UP
-                                                        : SILENCE_WAIT;
+    gboolean may_move = RelayFeedback_noteSilence(&this->feedback) &&
+                        Exchange_mayRepeat(super) && may_retry(this);
+    return may_move && !this->run_events->hedge(this) ? SILENCE_GIVE_UP
+                                                      : SILENCE_WAIT;
 }
 
 static const RelayAttemptEvents_t attempt_events = {
@@ -252,23 +256,24 @@
 static const char *
 last_event_id(const RelayExchange_t *this)
 {
-    const char *last = this->events ? EventPipe_lastId(this->events) : NULL;
+    const char *last =
+        this->event_pipe ? EventPipe_lastId(this->event_pipe) : NULL;
     return last ? last : this->request.last_event_id;
 }
 
 static guint
-rank_of(const RelayExchange_t *this)
+select_rank(const RelayExchange_t *this)
 {
     return this->customer && this->customer->rank != ROUTE_NO_RANK
                ? this->customer->rank
                : this->route->rank;
 }
 
-/* A request that may run only once goes on a connection that was proved
- * alive a moment ago, or on a new one: a kept one that the upstream has
- * dropped would leave it unknown whether it ran. */
+/* A request that may run only once uses a connection that was idle for a short
+ * while only, or a new one: if the upstream has closed an idle connection, it
+ * would remain unknown whether the request ran. */
 static gint64
-idle_limit(const RelayExchange_t *this)
+select_idle_limit(const RelayExchange_t *this)
 {
     const LimitsSection_t *limits = &this->super.context->settings->limits;
     return this->super.repeatable ? limits->idle_time_ms
@@ -276,80 +281,81 @@
 }
 
 static const char *
-or_null(const char *text)
+null_if_empty(const char *text)
 {
     return *text ? text : NULL;
 }
 
 static RelayOrder_t
-order_of(const RelayExchange_t *this, const RelayPlacing_t *placing,
-         gint64 left_ms)
+build_order(const RelayExchange_t *this, const RelayDestination_t *destination,
+            gint64 left_ms)
 {
-    const Upstream_t *upstream = placing->choice.upstream;
-    gboolean is_engine = placing->salt[0] != '\0';
+    const Upstream_t *upstream = destination->choice.upstream;
+    gboolean is_engine = destination->salt[0] != '\0';
     return (RelayOrder_t){
         .instance = upstream->name->str,
         .customer = this->customer ? this->customer->name->str : NULL,
         .wait_ms = left_ms,
-        .rank = rank_of(this),
-        .weights = is_engine ? or_null(upstream->weights->str) : NULL,
-        .salt = or_null(placing->salt),
-        .fetch_from = or_null(placing->fetch_from),
-        .save_to = or_null(placing->save_to),
+        .rank = select_rank(this),
+        .weights = is_engine ? null_if_empty(upstream->weights->str) : NULL,
+        .salt = null_if_empty(destination->salt),
+        .fetch_from = null_if_empty(destination->fetch_from),
+        .save_to = null_if_empty(destination->save_to),
         .last_event_id = last_event_id(this),
     };
 }
 
-/* It is looked at no later than when it may have to be taken back from a
- * queue. */
+/* The timeout ends no later than the weights may become overdue, so that the
+ * request can be taken back from the engine's queue then. */
 static gint64
-first_ms(const RelayExchange_t *this, const Upstream_t *upstream)
+first_data_timeout_ms(const RelayExchange_t *this, const Upstream_t *upstream)
 {
     const Context_t *context = this->super.context;
-    gint64 overdue_ms =
-        this->route->by_prefix
-            ? RelayPlacer_overdueInMs(context, this->request.model, upstream)
-            : G_MAXINT64;
+    gint64 overdue_ms = this->route->by_prefix
+                            ? RelayPlacer_msUntilOverdue(
+                                  context, this->request.model, upstream)
+                            : G_MAXINT64;
     return MIN(context->settings->limits.first_token_timeout_ms, overdue_ms);
 }
 
 RelayAttempt_t *
-RelayRun_send(const RelayExchange_t *this, const RelayPlacing_t *placing,
+RelayRun_send(const RelayExchange_t *this,
+              const RelayDestination_t *destination,
               const RelayAttemptEvents_t *events, void *owner)
 {
     const Exchange_t *super = &this->super;
     const LimitsSection_t *limits = &super->context->settings->limits;
     gint64 left_ms = super->deadline_ms - Clock_nowMs();
-    RelayOrder_t order = order_of(this, placing, left_ms);
+    RelayOrder_t order = build_order(this, destination, left_ms);
     RelayAttemptSpec_t spec = {
-        .upstream = placing->choice.upstream,
+        .upstream = destination->choice.upstream,
         .form = this->form->upstream,
         .request = RelayAnswer_request(this->answer),
         .request_id = super->id->str,
         .order = &order,
         .body = this->request_body,
         .piece_max =
-            (gsize)(this->events ? limits->event_max : limits->answer_max),
+            (gsize)(this->event_pipe ? limits->event_max : limits->answer_max),
         .head_max = (gsize)limits->max_header,
-        .idle_max_ms = idle_limit(this),
+        .idle_max_ms = select_idle_limit(this),
         .connect_ms = MIN(limits->connect_timeout_ms, left_ms),
-        .first_ms = first_ms(this, placing->choice.upstream),
+        .first_ms = first_data_timeout_ms(this, destination->choice.upstream),
         .pause_ms = limits->token_timeout_ms,
     };
     return RelayAttempt_start(super->context->base, &spec, events, owner);
 }
 
 void
-RelayRun_start(RelayExchange_t *this, const RelayPlacing_t *placing)
+RelayRun_start(RelayExchange_t *this, const RelayDestination_t *destination)
 {
     Exchange_t *super = &this->super;
-    Exchange_noteAttempt(super, placing->choice.upstream,
-                         placing->choice.reason);
-    super->attempt_trace->candidates = placing->choice.candidates;
-    this->kept_for = REFUSAL_COUNT;
+    Exchange_noteAttempt(super, destination->choice.upstream,
+                         destination->choice.reason);
+    super->attempt_trace->candidates = destination->choice.candidates;
+    this->keep_reason = REFUSAL_COUNT;
     RelayFeedback_begin(&this->feedback, super->context, super->id->str,
-                        placing);
-    this->attempt = RelayRun_send(this, placing, &attempt_events, this);
+                        destination);
+    this->attempt = RelayRun_send(this, destination, &attempt_events, this);
 }
 
 void
@@ -358,15 +364,15 @@
                const char *reason, gint64 started_us)
 {
     Exchange_t *super = &this->super;
-    EventPipe_restart(this->events);
+    EventPipe_restart(this->event_pipe);
     Exchange_noteAttempt(super, feedback->upstream, reason);
-    this->kept_for = REFUSAL_COUNT;
+    this->keep_reason = REFUSAL_COUNT;
     super->attempt_trace->started_us = started_us - super->started_us;
     this->is_stream = TRUE;
     this->feedback = *feedback;
     this->ticket = *ticket;
     this->attempt = attempt;
-    RelayAttempt_hand(attempt, &attempt_events, this);
+    RelayAttempt_setOwner(attempt, &attempt_events, this);
 }
 
 void
@@ -380,14 +386,15 @@
 {
     gboolean sent = RelayAttempt_wasSent(this->attempt);
     RelayExchange_endTicket(this);
-    RelayFeedback_settle(&this->feedback);
+    RelayFeedback_clearPending(&this->feedback);
     RelayAttempt_cancel(this->attempt);
     this->attempt = NULL;
     return sent;
 }
 
 void
-RelayRun_end(RelayExchange_t *this, AttemptEnd_t end, const RelayHead_t *head)
+RelayRun_endAdopted(RelayExchange_t *this, AttemptEnd_t end,
+                    const RelayHead_t *head)
 {
     on_ended(this, end, head);
 }
--- a/src/Router.c
+++ b/src/Router.c
@@ -94,7 +94,7 @@
         UpstreamNotices_takeNews(this->context.notices, message->notice_news);
     }
     else if (this->relay) {
-        RelayParts_take(this->relay, from, message);
+        RelayParts_receive(this->relay, from, message);
     }
     else {
         NativeParts_take(this->native, from, message);
@@ -108,7 +108,7 @@
     CrashGuard_introduce(this->context.crashes, member);
     UpstreamNotices_introduce(this->context.notices, member);
     if (this->relay) {
-        RelayParts_introduce(this->relay, member);
+        RelayParts_syncPeer(this->relay, member);
     }
 }
 
--- a/tests/fuzz/heads.c
+++ b/tests/fuzz/heads.c
@@ -110,11 +110,11 @@
     const char *id = evhttp_find_header(&headers, "X-Request-Id");
     const char *named = evhttp_find_header(&headers, "X-Instance-Id");
     g_assert(head.status == status);
-    g_assert(head.names_request == (g_strcmp0(id, "q1") == 0));
+    g_assert(head.matches_request == (g_strcmp0(id, "q1") == 0));
     g_assert(!head.other_instance || (named && strcmp(named, "i-1") != 0));
     g_assert(!head.not_run || status == 421 ||
              evhttp_find_header(&headers, "X-Not-Executed"));
-    g_assert(!head.is_own || !head.other_instance);
+    g_assert(!head.is_from_upstream || !head.other_instance);
     check_notice(&head.notice, status);
     evhttp_clear_headers(&headers);
     return 0;
--- a/tests/test_Fleet.c
+++ b/tests/test_Fleet.c
@@ -220,7 +220,7 @@
     ck_assert(read_head(421, "X-Instance-Id", "i-1").not_run);
     ck_assert(!read_head(421, "X-Instance-Id", "i-1").other_instance);
     ck_assert(read_head(421, "X-Instance-Id", "i-2").other_instance);
-    ck_assert(read_head(200, "X-Server-Seal", "s").sealed);
+    ck_assert(read_head(200, "X-Server-Seal", "s").has_signature);
     ck_assert_int_eq(read_head(200, "Connection", "close").notice.leaving,
                      FLAG_UNSET);
     ck_assert_int_eq(read_head(503, "Server-Leaving", "1").notice.leaving,
@@ -229,10 +229,10 @@
                         2);
     ck_assert_int_eq(read_head(503, "Retry-After", "3").notice.rest.for_ms,
                      3000);
-    ck_assert(read_head(503, NULL, NULL).is_own);
-    ck_assert(read_head(421, "X-Instance-Id", "i-1").is_own);
-    ck_assert(!read_head(421, "X-Instance-Id", "i-2").is_own);
-    ck_assert(!read_head(421, NULL, NULL).is_own);
+    ck_assert(read_head(503, NULL, NULL).is_from_upstream);
+    ck_assert(read_head(421, "X-Instance-Id", "i-1").is_from_upstream);
+    ck_assert(!read_head(421, "X-Instance-Id", "i-2").is_from_upstream);
+    ck_assert(!read_head(421, NULL, NULL).is_from_upstream);
 }
 END_TEST
 
