--- a/src/Answer.c
+++ b/src/Answer.c
@@ -25,28 +25,28 @@
     gboolean chat;
     GString *id;
     GString *model_json;
-    GString *sealed;
-    GString *text; /* of a plain answer, as JSON without its quotes */
-    GString *last_finish;
-    GString *head; /* of each event, the same for all of a stream */
-    GString *line; /* events of this turn, or scratch */
+    GString *resume_token; /* sealed part, without the offset */
+    GString *content;      /* of an answer that is not streamed */
+    GString *finish_reason;
+    GString *event_prefix; /* JSON before the text, equal for all events */
+    GString *out; /* events not yet handed to evhttp, or the whole body */
     struct evbuffer *chunk;
     gsize buffer_max;
     TurnEnd_t *turn_end;
     gint64 created_s;
-    gboolean begun;
+    gboolean started;
     gboolean full;
 };
 
 static struct bufferevent *
-stream_of(const Answer_t *this)
+bufferevent_of(const Answer_t *this)
 {
     struct evhttp_connection *connection = CallerWatch_connection(this->watch);
     return connection ? evhttp_connection_get_bufferevent(connection) : NULL;
 }
 
 static void
-on_left(void *owner)
+on_caller_left(void *owner)
 {
     const Answer_t *this = owner;
     this->events->left(this->owner);
@@ -64,12 +64,12 @@
 }
 
 static void
-begin_stream(Answer_t *this)
+start_stream(Answer_t *this)
 {
-    if (this->begun) {
+    if (this->started) {
         return;
     }
-    this->begun = TRUE;
+    this->started = TRUE;
     struct evkeyvalq *headers =
         evhttp_request_get_output_headers(CallerWatch_request(this->watch));
     evhttp_add_header(headers, "Content-Type", "text/event-stream");
@@ -79,23 +79,23 @@
 }
 
 static void
-note_fullness(Answer_t *this)
+update_full(Answer_t *this)
 {
-    struct bufferevent *stream = stream_of(this);
+    struct bufferevent *stream = bufferevent_of(this);
     gsize waiting =
         stream ? evbuffer_get_length(bufferevent_get_output(stream)) : 0;
-    if (waiting + this->line->len > this->buffer_max) {
+    if (waiting + this->out->len > this->buffer_max) {
         this->full = TRUE;
     }
 }
 
-/* One chunk for all events of this turn. */
+/* Sends all events of this loop iteration as one chunk. */
 static void
-send_lines(Answer_t *this)
+flush_events(Answer_t *this)
 {
     struct evhttp_connection *connection = CallerWatch_connection(this->watch);
-    evbuffer_add(this->chunk, this->line->str, this->line->len);
-    g_string_truncate(this->line, 0);
+    evbuffer_add(this->chunk, this->out->str, this->out->len);
+    g_string_truncate(this->out, 0);
     if (this->full) {
         evhttp_send_reply_chunk_with_cb(CallerWatch_request(this->watch),
                                         this->chunk, on_drained, this);
@@ -107,25 +107,25 @@
 }
 
 static void
-on_turn_end(void *data)
+on_iteration_end(void *data)
 {
     Answer_t *this = data;
-    if (CallerWatch_request(this->watch) && this->line->len > 0) {
-        send_lines(this);
+    if (CallerWatch_request(this->watch) && this->out->len > 0) {
+        flush_events(this);
     }
 }
 
 static void
-send_later(Answer_t *this, gsize length_before)
+schedule_flush(Answer_t *this, gsize length_before)
 {
     if (length_before == 0) {
-        TurnEnd_add(this->turn_end, on_turn_end, this);
+        TurnEnd_add(this->turn_end, on_iteration_end, this);
     }
-    note_fullness(this);
+    update_full(this);
 }
 
 static void
-append_head(const Answer_t *this, GString *out, const char *object)
+append_object_head(const Answer_t *this, GString *out, const char *object)
 {
     g_string_append_printf(
         out,
@@ -146,15 +146,15 @@
     }
 }
 
-/* Made once for all tokens of a stream. */
 static void
-make_head(Answer_t *this)
+build_event_prefix(Answer_t *this)
 {
-    if (this->head->len == 0) {
-        g_string_append(this->head, "\ndata: ");
-        append_head(this, this->head,
-                    this->chat ? "chat.completion.chunk" : "text_completion");
-        g_string_append(this->head,
+    if (this->event_prefix->len == 0) {
+        g_string_append(this->event_prefix, "\ndata: ");
+        append_object_head(this, this->event_prefix,
+                           this->chat ? "chat.completion.chunk"
+                                      : "text_completion");
+        g_string_append(this->event_prefix,
                         this->chat ? "\"delta\":{\"content\":" : "\"text\":");
     }
 }
@@ -163,21 +163,23 @@
 stream_token(Answer_t *this, const char *text, gsize length,
              const char *finish, guint64 next_offset)
 {
-    begin_stream(this);
-    make_head(this);
-    GString *line = this->line;
-    gsize length_before = line->len;
-    g_string_append_len(line, "id: ", strlen("id: "));
-    g_string_append_len(line, this->sealed->str, (gssize)this->sealed->len);
-    g_string_append_printf(line, ".%" G_GUINT64_FORMAT, next_offset);
-    g_string_append_len(line, this->head->str, (gssize)this->head->len);
-    Json_appendString(line, text, (gssize)length);
+    start_stream(this);
+    build_event_prefix(this);
+    GString *out = this->out;
+    gsize length_before = out->len;
+    g_string_append_len(out, "id: ", strlen("id: "));
+    g_string_append_len(out, this->resume_token->str,
+                        (gssize)this->resume_token->len);
+    g_string_append_printf(out, ".%" G_GUINT64_FORMAT, next_offset);
+    g_string_append_len(out, this->event_prefix->str,
+                        (gssize)this->event_prefix->len);
+    Json_appendString(out, text, (gssize)length);
     if (this->chat) {
-        g_string_append_c(line, '}');
+        g_string_append_c(out, '}');
     }
-    append_finish(line, finish);
-    g_string_append(line, "}]}\n\n");
-    send_later(this, length_before);
+    append_finish(out, finish);
+    g_string_append(out, "}]}\n\n");
+    schedule_flush(this, length_before);
 }
 
 static void
@@ -187,41 +189,41 @@
     (void)prompt_tokens;
     (void)tokens;
     (void)cached_tokens;
-    begin_stream(this);
-    g_string_append(this->line, "data: [DONE]\n\n");
-    send_lines(this);
+    start_stream(this);
+    g_string_append(this->out, "data: [DONE]\n\n");
+    flush_events(this);
     struct evhttp_request *request = CallerWatch_end(this->watch);
     PendingReply_watch(request);
     evhttp_send_reply_end(request);
 }
 
 static void
-plain_token(Answer_t *this, const char *text, gsize length, const char *finish,
-            guint64 next_offset)
+collect_token(Answer_t *this, const char *text, gsize length,
+              const char *finish, guint64 next_offset)
 {
     (void)next_offset;
-    g_string_append_len(this->text, text, (gssize)length);
+    g_string_append_len(this->content, text, (gssize)length);
     if (finish) {
-        g_string_assign(this->last_finish, finish);
+        g_string_assign(this->finish_reason, finish);
     }
 }
 
 static void
-plain_finish(Answer_t *this, guint prompt_tokens, guint64 tokens,
-             guint cached_tokens)
+send_collected(Answer_t *this, guint prompt_tokens, guint64 tokens,
+               guint cached_tokens)
 {
-    GString *body = this->line;
-    append_head(this, body,
-                this->chat ? "chat.completion" : "text_completion");
+    GString *body = this->out;
+    append_object_head(this, body,
+                       this->chat ? "chat.completion" : "text_completion");
     g_string_append(body, this->chat ? "\"message\":{\"role\":\"assistant\","
                                        "\"content\":"
                                      : "\"text\":");
-    Json_appendString(body, this->text->str, (gssize)this->text->len);
+    Json_appendString(body, this->content->str, (gssize)this->content->len);
     if (this->chat) {
         g_string_append_c(body, '}');
     }
-    append_finish(body, this->last_finish->len > 0 ? this->last_finish->str
-                                                   : "stop");
+    append_finish(body, this->finish_reason->len > 0 ? this->finish_reason->str
+                                                     : "stop");
     g_string_append_printf(
         body,
         "}],\"usage\":{\"prompt_tokens\":%u,\"completion_tokens\":"
@@ -239,7 +241,7 @@
 }
 
 static const AnswerClass_t stream_class = {stream_token, stream_finish};
-static const AnswerClass_t plain_class = {plain_token, plain_finish};
+static const AnswerClass_t plain_class = {collect_token, send_collected};
 
 Answer_t *
 Answer_create(struct event_base *base, const AnswerSpec_t *spec,
@@ -253,16 +255,17 @@
     this->id = g_string_new(spec->id);
     this->model_json = g_string_new(NULL);
     Json_appendString(this->model_json, spec->model, -1);
-    this->sealed = g_string_new(NULL);
-    this->text = g_string_new(NULL);
-    this->last_finish = g_string_new(NULL);
-    this->head = g_string_new(NULL);
-    this->line = g_string_sized_new(512);
+    this->resume_token = g_string_new(NULL);
+    this->content = g_string_new(NULL);
+    this->finish_reason = g_string_new(NULL);
+    this->event_prefix = g_string_new(NULL);
+    this->out = g_string_sized_new(512);
     this->chunk = evbuffer_new();
     this->buffer_max = spec->buffer_max;
     this->turn_end = spec->turn_end;
     this->created_s = Clock_wallMs() / 1000;
-    this->watch = CallerWatch_create(base, spec->request, on_left, this);
+    this->watch =
+        CallerWatch_create(base, spec->request, on_caller_left, this);
     return this;
 }
 
@@ -273,24 +276,24 @@
     TurnEnd_remove(this->turn_end, this);
     g_string_free(this->id, TRUE);
     g_string_free(this->model_json, TRUE);
-    g_string_free(this->sealed, TRUE);
-    g_string_free(this->text, TRUE);
-    g_string_free(this->last_finish, TRUE);
-    g_string_free(this->head, TRUE);
-    g_string_free(this->line, TRUE);
+    g_string_free(this->resume_token, TRUE);
+    g_string_free(this->content, TRUE);
+    g_string_free(this->finish_reason, TRUE);
+    g_string_free(this->event_prefix, TRUE);
+    g_string_free(this->out, TRUE);
     evbuffer_free(this->chunk);
     g_free(this);
 }
 
 void
-Answer_setToken(Answer_t *this, const GString *sealed)
+Answer_setResumeToken(Answer_t *this, const GString *sealed)
 {
-    g_string_assign(this->sealed, sealed->str);
+    g_string_assign(this->resume_token, sealed->str);
 }
 
 void
-Answer_token(Answer_t *this, const char *text, gsize length,
-             const char *finish, guint64 next_offset)
+Answer_writeToken(Answer_t *this, const char *text, gsize length,
+                  const char *finish, guint64 next_offset)
 {
     if (CallerWatch_request(this->watch)) {
         this->class->token(this, text, length, finish, next_offset);
@@ -306,30 +309,29 @@
     }
 }
 
-/* Once the error event has gone out, the chunked body stays without its end.
- */
+/* Closes the connection after the error event, without the last chunk. */
 static void
-on_error_sent(struct evhttp_connection *connection, void *data)
+on_error_event_sent(struct evhttp_connection *connection, void *data)
 {
     (void)data;
     evhttp_connection_free(connection);
 }
 
 static void
-break_off(Answer_t *this, const RefusalNotice_t *notice)
+abort_stream(Answer_t *this, const RefusalNotice_t *notice)
 {
     GString *body = Refusal_body(notice->refusal, notice->run, notice->detail);
-    g_string_append_printf(this->line, "event: error\ndata: %s\n\n",
-                           body->str);
+    g_string_append_printf(this->out, "event: error\ndata: %s\n\n", body->str);
     g_string_free(body, TRUE);
-    evbuffer_add(this->chunk, this->line->str, this->line->len);
+    evbuffer_add(this->chunk, this->out->str, this->out->len);
     struct evhttp_request *request = CallerWatch_end(this->watch);
     if (!evhttp_request_get_connection(request)) {
         evhttp_send_reply_end(request);
         return;
     }
     PendingReply_watch(request);
-    evhttp_send_reply_chunk_with_cb(request, this->chunk, on_error_sent, NULL);
+    evhttp_send_reply_chunk_with_cb(request, this->chunk, on_error_event_sent,
+                                    NULL);
 }
 
 void
@@ -338,8 +340,8 @@
     if (!CallerWatch_request(this->watch)) {
         return;
     }
-    if (this->begun) {
-        break_off(this, notice);
+    if (this->started) {
+        abort_stream(this, notice);
         return;
     }
     Http_refuse(CallerWatch_end(this->watch), this->id->str, notice);
--- a/src/Answer.h
+++ b/src/Answer.h
@@ -3,9 +3,10 @@
 /**
  * DOC: Answer
  *
- * The caller's side of a model request: it writes tokens, the end and
- * refusals in the form that was asked for, and learns when the caller leaves
- * or can't keep up. The forms are one class table each.
+ * Writes the response to a model request: tokens, the end of the answer and
+ * refusals. The caller chooses between a chat and a text completion, streamed
+ * as server-sent events or sent in one piece. Reports when the caller
+ * disconnects or reads more slowly than tokens arrive.
  */
 #include <event2/event.h>
 #include <event2/http.h>
@@ -15,9 +16,9 @@
 #include "TurnEnd.h"
 
 /**
- * struct AnswerEvents_t - what the caller's side tells its owner
- * @left: the caller closed the connection; nothing more can be written
- * @drained: all that was written has gone out, after Answer_isFull()
+ * struct AnswerEvents_t - callbacks to the owner of an answer
+ * @left: the caller closed the connection; nothing can be written any more
+ * @drained: the buffered output was sent, after Answer_isFull() was TRUE
  */
 typedef struct {
     void (*left)(void *owner);
@@ -25,14 +26,15 @@
 } AnswerEvents_t;
 
 /**
- * struct AnswerSpec_t - the form of an answer
- * @request: of evhttp; the answer ends it
- * @chat: as chat completion
- * @stream: as events
+ * struct AnswerSpec_t - parameters of an answer
+ * @request: the caller's request; the answer ends it
+ * @chat: chat completion format; text completion if FALSE
+ * @stream: send server-sent events
  * @id: the request's id
- * @model: as the caller named it
- * @buffer_max: bytes that may wait for the caller
- * @turn_end: tokens of one turn are written together at its end
+ * @model: name of the model as the caller wrote it
+ * @buffer_max: bytes of unsent output above which Answer_isFull() is TRUE
+ * @turn_end: tokens received in one loop iteration are written together at
+ *     its end
  */
 typedef struct {
     struct evhttp_request *request;
@@ -47,46 +49,48 @@
 /** struct Answer_t - opaque */
 typedef struct Answer Answer_t;
 
-/** Answer_create() - nothing is written yet */
+/** Answer_create() - watch the caller; writes nothing yet */
 Answer_t *Answer_create(struct event_base *base, const AnswerSpec_t *spec,
                         const AnswerEvents_t *events, void *owner);
 
 /**
- * Answer_destroy() - free it
+ * Answer_destroy() - free an answer
  *
- * One of Answer_finish() and Answer_refuse() must have been called, or the
- * caller have left.
+ * Answer_finish() or Answer_refuse() must have been called before, unless the
+ * caller has left.
  */
 void Answer_destroy(Answer_t *this);
 
-/** Answer_setToken() - sealed part of the resume token for next tokens */
-void Answer_setToken(Answer_t *this, const GString *sealed);
+/** Answer_setResumeToken() - set the sealed part of the resume token that goes
+ * into the id of each following event */
+void Answer_setResumeToken(Answer_t *this, const GString *sealed);
 
 /**
- * Answer_token() - write one token
- * @next_offset: tokens that the caller has with it
- * @finish: why the answer ends with it, or NULL
+ * Answer_writeToken() - write one token
+ * @finish: finish reason if the answer ends with this token, else NULL
+ * @next_offset: number of tokens sent to the caller including this one
  */
-void Answer_token(Answer_t *this, const char *text, gsize length,
-                  const char *finish, guint64 next_offset);
+void Answer_writeToken(Answer_t *this, const char *text, gsize length,
+                       const char *finish, guint64 next_offset);
 
-/** Answer_finish() - the answer is whole */
+/** Answer_finish() - end a complete answer */
 void Answer_finish(Answer_t *this, guint prompt_tokens, guint64 tokens,
                    guint cached_tokens);
 
 /**
- * Answer_refuse() - refuse
+ * Answer_refuse() - answer with a refusal
  *
- * Where tokens were written already, an error event follows them and the
- * transfer is broken off, so that it can't be taken for whole.
+ * If a stream has started, an error event is sent and the chunked body is left
+ * without its last chunk, so that the caller can't take it for complete.
  */
 void Answer_refuse(Answer_t *this, const RefusalNotice_t *notice);
 
-/** Answer_isFull() - whether the caller has to catch up first */
+/** Answer_isFull() - whether the unsent output exceeds @buffer_max; no more
+ * tokens should be written until @drained is called */
 gboolean Answer_isFull(const Answer_t *this);
 
 /**
- * Http_refuse() - answer any request with a refusal
+ * Http_refuse() - answer a request with a refusal, without an Answer_t
  * @id: the request's id
  */
 void Http_refuse(struct evhttp_request *request, const char *id,
--- a/src/Attempt.c
+++ b/src/Attempt.c
@@ -7,10 +7,11 @@
 #include "HttpCall.h"
 #include "SseParser.h"
 
-/* A refusal's body is short; what is longer is not read on. */
-#define REFUSAL_MAX 65536
-/* The watch is not armed for less while there is time left. */
-#define WATCH_LEAST_MS 1000
+/* Stored bytes of a refusal's body; chunks that would exceed it are dropped.
+ * The bodies of refusals are short. */
+#define REFUSAL_BODY_MAX 65536
+/* The timeout is rechecked no sooner than after this time. */
+#define TIMEOUT_RECHECK_MIN_MS 1000
 
 struct Attempt {
     AttemptConnection_t connection;
@@ -19,14 +20,14 @@
     void *owner;
     char id[RANDOM_ID_LENGTH + 1];
     SseParser_t *parser;
-    GString *refusal; /* body of an answer that is no stream */
+    GString *refusal_body; /* of an answer without an event stream */
     EngineHead_t head;
     EngineForm_t form;
     guint64 next_index;
     AttemptEnd_t fault;
     gboolean has_fault;
     gboolean has_head;
-    gboolean whole;
+    gboolean complete;
 };
 
 static void
@@ -34,7 +35,7 @@
 {
     AttemptConnection_clear(&this->connection);
     SseParser_destroy(this->parser);
-    g_string_free(this->refusal, TRUE);
+    g_string_free(this->refusal_body, TRUE);
     g_string_free(this->head.attempt, TRUE);
     g_string_free(this->form.prefix, TRUE);
     g_string_free(this->form.suffix, TRUE);
@@ -57,9 +58,10 @@
     }
 }
 
-/* Armed again only when it fires, since a token comes far more often. */
+/* Tokens only update last_received_ms. The timer, which fires far less often,
+ * computes the remaining time and rearms itself. */
 static void
-on_watch(evutil_socket_t fd, short what, void *data)
+on_timeout(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
@@ -69,13 +71,14 @@
         end_attempt(this, ATTEMPT_WITHDRAWN, NULL);
         return;
     }
-    if (connection->overfull) {
+    if (connection->input_oversized) {
         end_attempt(this, ATTEMPT_OVERSIZED, NULL);
         return;
     }
-    gint64 left_ms = AttemptConnection_leftMs(connection);
-    if (left_ms > 0 || connection->held) {
-        Clock_arm(connection->watch, MAX(left_ms, WATCH_LEAST_MS));
+    gint64 left_ms = AttemptConnection_remainingMs(connection);
+    if (left_ms > 0 || connection->read_paused) {
+        Clock_arm(connection->timeout_timer,
+                  MAX(left_ms, TIMEOUT_RECHECK_MIN_MS));
         return;
     }
     if (!connection->sent) {
@@ -85,7 +88,7 @@
         end_attempt(this, ATTEMPT_SILENT, NULL);
     }
     else {
-        Clock_arm(connection->watch, WATCH_LEAST_MS);
+        Clock_arm(connection->timeout_timer, TIMEOUT_RECHECK_MIN_MS);
     }
 }
 
@@ -98,10 +101,10 @@
 }
 
 static gboolean
-take_token(Attempt_t *this, const EngineToken_t *token)
+receive_token(Attempt_t *this, const EngineToken_t *token)
 {
     if (token->end) {
-        this->whole = TRUE;
+        this->complete = TRUE;
         return FALSE;
     }
     if (token->index < this->next_index) {
@@ -113,7 +116,7 @@
     this->next_index++;
     AttemptConnection_noteData(&this->connection);
     this->events->token(this->owner, token);
-    return !this->connection.over;
+    return !this->connection.closed;
 }
 
 static gboolean
@@ -121,22 +124,23 @@
 {
     Attempt_t *this = user;
     EngineToken_t token;
-    json_t *keep = NULL;
+    json_t *parsed = NULL;
     gboolean good = this->wire->read_event(&this->head, &this->form, id, data,
-                                           length, &token, &keep);
-    gboolean go_on =
-        good ? take_token(this, &token) : set_fault(this, ATTEMPT_MISMATCH);
-    json_decref(keep);
-    return go_on;
+                                           length, &token, &parsed);
+    gboolean proceed =
+        good ? receive_token(this, &token) : set_fault(this, ATTEMPT_MISMATCH);
+    json_decref(parsed);
+    return proceed;
 }
 
-/* evhttp throws away what a chunk callback leaves. */
+/* evhttp discards the bytes that a chunk callback does not read. */
 static void
-keep_refusal(Attempt_t *this, struct evbuffer *input)
+store_refusal_body(Attempt_t *this, struct evbuffer *input)
 {
     gsize length = evbuffer_get_length(input);
-    if (length > 0 && this->refusal->len + length <= REFUSAL_MAX) {
-        g_string_append_len(this->refusal, (char *)evbuffer_pullup(input, -1),
+    if (length > 0 && this->refusal_body->len + length <= REFUSAL_BODY_MAX) {
+        g_string_append_len(this->refusal_body,
+                            (char *)evbuffer_pullup(input, -1),
                             (gssize)length);
     }
 }
@@ -146,24 +150,25 @@
 {
     Attempt_t *this = data;
     struct evbuffer *input = evhttp_request_get_input_buffer(request);
-    if (this->connection.over || this->has_fault || this->whole) {
+    if (this->connection.closed || this->has_fault || this->complete) {
         return;
     }
-    this->connection.last_heard_ms = Clock_nowMs();
+    this->connection.last_received_ms = Clock_nowMs();
     if (!this->has_head) {
-        keep_refusal(this, input);
+        store_refusal_body(this, input);
         return;
     }
-    if (!SseParser_feed(this->parser, input) && !this->connection.over &&
-        !this->whole) {
+    if (!SseParser_feed(this->parser, input) && !this->connection.closed &&
+        !this->complete) {
         end_attempt(this, this->has_fault ? this->fault : ATTEMPT_OVERSIZED,
                     NULL);
     }
 }
 
-/* Only an answer that names this attempt says anything of now. */
+/* Ignores the notice of an answer without this attempt's id, which may be
+ * stale. */
 static void
-tell_notice(Attempt_t *this, struct evhttp_request *request)
+report_notice(Attempt_t *this, struct evhttp_request *request)
 {
     struct evkeyvalq *headers = evhttp_request_get_input_headers(request);
     const char *attempt = evhttp_find_header(headers, ATTEMPT_HEADER);
@@ -179,14 +184,14 @@
 on_headers(struct evhttp_request *request, void *data)
 {
     Attempt_t *this = data;
-    if (this->connection.over) {
+    if (this->connection.closed) {
         return 0;
     }
-    tell_notice(this, request);
+    report_notice(this, request);
     if (evhttp_request_get_response_code(request) != HTTP_OK) {
         return 0;
     }
-    this->connection.last_heard_ms = Clock_nowMs();
+    this->connection.last_received_ms = Clock_nowMs();
     Http_noDelay(this->connection.evhttp);
     gboolean good = this->wire->read_head(
         evhttp_request_get_input_headers(request), &this->head);
@@ -203,13 +208,15 @@
     return 0;
 }
 
-/* Only a refusal that names this attempt can prove anything of it. */
+/* Only a refusal that carries this attempt's id proves that the request was
+ * rejected or not run. */
 static void
 end_refused(Attempt_t *this, struct evhttp_request *request)
 {
     EngineRefusal_t refusal;
     this->wire->read_refusal(evhttp_request_get_response_code(request),
-                             this->refusal->str, this->refusal->len, &refusal);
+                             this->refusal_body->str, this->refusal_body->len,
+                             &refusal);
     const char *attempt = evhttp_find_header(
         evhttp_request_get_input_headers(request), ATTEMPT_HEADER);
     if (g_strcmp0(attempt, this->id) != 0) {
@@ -229,7 +236,7 @@
 {
     Attempt_t *this = data;
     int status = request ? evhttp_request_get_response_code(request) : 0;
-    if (this->connection.over) {
+    if (this->connection.closed) {
         return;
     }
     if (status == 0) {
@@ -238,12 +245,12 @@
                     NULL);
         return;
     }
-    this->connection.keep = status != HTTP_OK || this->whole;
+    this->connection.reusable = status != HTTP_OK || this->complete;
     if (status != HTTP_OK) {
         end_refused(this, request);
         return;
     }
-    end_attempt(this, this->whole ? ATTEMPT_WHOLE : ATTEMPT_CUT, NULL);
+    end_attempt(this, this->complete ? ATTEMPT_WHOLE : ATTEMPT_CUT, NULL);
 }
 
 static struct evhttp_request *
@@ -272,10 +279,10 @@
         .upstream = spec->upstream,
         .idle_max_ms = spec->fresh ? UPSTREAM_NO_IDLE : UPSTREAM_ANY_IDLE,
         .is_new_work = !spec->is_resume,
-        .patience = {spec->connect_ms, spec->first_token_ms, spec->token_ms},
+        .timeouts = {spec->connect_ms, spec->first_token_ms, spec->token_ms},
         .piece_max = spec->event_max,
         .head_max = spec->head_max,
-        .on_watch = on_watch,
+        .on_timeout = on_timeout,
         .on_reap = on_reap,
         .attempt = this,
     };
@@ -286,7 +293,7 @@
     this->head.attempt = g_string_new(NULL);
     this->form.prefix = g_string_new(NULL);
     this->form.suffix = g_string_new(NULL);
-    this->refusal = g_string_new(NULL);
+    this->refusal_body = g_string_new(NULL);
     Random_id(this->id);
     this->parser = SseParser_create(spec->event_max, on_event, this);
     AttemptConnection_init(&this->connection, base, &connection);
@@ -302,25 +309,25 @@
 }
 
 void
-Attempt_hold(Attempt_t *this)
+Attempt_pauseReading(Attempt_t *this)
 {
-    if (!this->connection.held && !this->connection.over) {
-        AttemptConnection_hold(&this->connection, TRUE);
+    if (!this->connection.read_paused && !this->connection.closed) {
+        AttemptConnection_setReadPaused(&this->connection, TRUE);
     }
 }
 
 gboolean
-Attempt_isHeld(const Attempt_t *this)
+Attempt_isReadingPaused(const Attempt_t *this)
 {
-    return this->connection.held;
+    return this->connection.read_paused;
 }
 
 void
-Attempt_release(Attempt_t *this)
+Attempt_resumeReading(Attempt_t *this)
 {
-    if (this->connection.held && !this->connection.over) {
-        AttemptConnection_hold(&this->connection, FALSE);
-        this->connection.last_heard_ms = Clock_nowMs();
+    if (this->connection.read_paused && !this->connection.closed) {
+        AttemptConnection_setReadPaused(&this->connection, FALSE);
+        this->connection.last_received_ms = Clock_nowMs();
     }
 }
 
--- a/src/Attempt.h
+++ b/src/Attempt.h
@@ -3,9 +3,10 @@
 /**
  * DOC: Attempt
  *
- * One try to get a stream, or the rest of one, from one engine. It checks
- * that the answer is to this attempt, that its events follow each other
- * without a gap, and that it ends properly. It never tries again by itself.
+ * One attempt to get a stream of tokens, or the remainder of one, from one
+ * engine. It checks that the answer belongs to this attempt, that token
+ * indexes have no gap, and that the end mark arrives. Retries are left to the
+ * owner.
  */
 #include <event2/event.h>
 #include <glib.h>
@@ -16,14 +17,16 @@
 #include "Upstream.h"
 
 /**
- * struct AttemptEvents_t - what an attempt tells its owner
- * @answered: an answer to this attempt came; comes first
- * @started: the engine's head came
- * @token: the next token came
- * @silent: nothing came for too long; whether to give it up
- * @ended: last call of all; @refusal is NULL unless the engine refused
+ * struct AttemptEvents_t - callbacks to the owner of an attempt
+ * @answered: response headers with this attempt's id arrived; called first
+ * @started: the engine accepted the request and sent the stream's head
+ * @token: the next token arrived
+ * @silent: a timeout expired; returns TRUE to end the attempt, FALSE to
+ *     continue waiting
+ * @ended: the attempt ended, and no callback follows; @refusal is NULL unless
+ *     the engine refused the request
  *
- * The owner may cancel the attempt from any of them.
+ * The owner may cancel the attempt in each of them.
  */
 typedef struct {
     void (*answered)(void *owner, const UpstreamNotice_t *notice);
@@ -35,19 +38,19 @@
 } AttemptEvents_t;
 
 /**
- * struct AttemptSpec_t - what to ask
+ * struct AttemptSpec_t - parameters of an attempt
  * @upstream: the engine
- * @wire: how to speak to it
- * @path: of the wire
- * @body: of the wire
+ * @wire: the engine's protocol
+ * @path: URI of the request
+ * @body: body of the request, as @wire builds it
  * @first_index: index that the first token must have
- * @event_max: most bytes of one event
- * @head_max: most bytes of the answer's head
- * @fresh: use no idle connection
- * @is_resume: the engine has the stream already, and is asked for its rest
- * @connect_ms: how long the connection may take
- * @first_token_ms: how long the first token may take
- * @token_ms: how long each further one may take
+ * @event_max: maximum size of one event, in bytes
+ * @head_max: maximum size of the response headers, in bytes
+ * @fresh: open a new connection instead of reusing an idle one
+ * @is_resume: requests the remainder of a stream that the engine already runs
+ * @connect_ms: timeout of the connection
+ * @first_token_ms: timeout of the first token, once the request is sent
+ * @token_ms: timeout of each further token
  */
 typedef struct {
     Upstream_t *upstream;
@@ -64,26 +67,26 @@
     gint64 token_ms;
 } AttemptSpec_t;
 
-/** struct Attempt_t - opaque; frees itself after its end */
+/** struct Attempt_t - opaque; frees itself after it has ended */
 typedef struct Attempt Attempt_t;
 
-/** Attempt_start() - send it; @events must outlive it */
+/** Attempt_start() - send the request; @events must outlive the attempt */
 Attempt_t *Attempt_start(struct event_base *base, const AttemptSpec_t *spec,
                          const AttemptEvents_t *events, void *owner);
 
-/** Attempt_cancel() - close the connection; no event comes any more */
+/** Attempt_cancel() - end the attempt without further callbacks */
 void Attempt_cancel(Attempt_t *this);
 
-/** Attempt_hold() - read no more from the engine for now */
-void Attempt_hold(Attempt_t *this);
+/** Attempt_pauseReading() - stop reading from the engine */
+void Attempt_pauseReading(Attempt_t *this);
 
-/** Attempt_isHeld() - whether it is held back */
-gboolean Attempt_isHeld(const Attempt_t *this);
+/** Attempt_isReadingPaused() - whether reading is paused */
+gboolean Attempt_isReadingPaused(const Attempt_t *this);
 
-/** Attempt_release() - read on */
-void Attempt_release(Attempt_t *this);
+/** Attempt_resumeReading() - read again and restart the token timeout */
+void Attempt_resumeReading(Attempt_t *this);
 
-/** Attempt_wasSent() - whether the engine may have got the request */
+/** Attempt_wasSent() - whether the engine may have received the request */
 gboolean Attempt_wasSent(const Attempt_t *this);
 
 #endif
--- a/src/AttemptConnection.c
+++ b/src/AttemptConnection.c
@@ -5,10 +5,11 @@
 
 #include "Clock.h"
 
-/* What one read may bring beside the event, and the framing around it. */
+/* Bytes that one read may add beyond the largest event, framing included. */
 #define INPUT_MARGIN 65536
 
-/* evhttp fills the output only once the connection stands. */
+/* evhttp writes the request into the output buffer only once the connection is
+ * established. */
 static void
 on_output(struct evbuffer *buffer, const struct evbuffer_cb_info *info,
           void *data)
@@ -17,45 +18,47 @@
     AttemptConnection_t *this = data;
     if (info->n_added > 0 && !this->sent) {
         this->sent = TRUE;
-        this->last_heard_ms = Clock_nowMs();
-        Clock_arm(this->watch, this->patience.first_ms);
+        this->last_received_ms = Clock_nowMs();
+        Clock_arm(this->timeout_timer, this->timeouts.first_ms);
     }
 }
 
-/* evhttp hands a chunk on only once it is whole, so that one without an end
- * would gather here. The attempt is ended outside of the buffer's callback. */
+/* evhttp passes a chunk on only once it is complete, so an endless chunk would
+ * fill the input buffer without limit. The timer ends the attempt, outside of
+ * the buffer's callback. */
 static void
 on_input(struct evbuffer *buffer, const struct evbuffer_cb_info *info,
          void *data)
 {
     AttemptConnection_t *this = data;
-    if (this->overfull || this->over) {
-        return; /* armed anew with each read it would never run */
+    if (this->input_oversized || this->closed) {
+        return; /* rearming it with each read would keep it from firing */
     }
     if (info->n_added > 0 &&
         evbuffer_get_length(buffer) > this->piece_max + INPUT_MARGIN) {
-        this->overfull = TRUE;
-        Clock_arm(this->watch, 0);
+        this->input_oversized = TRUE;
+        Clock_arm(this->timeout_timer, 0);
     }
 }
 
-/* The connection is freed in a later turn of the loop, in which it may come
- * up: evhttp would write the request then, though it counts as not sent and
- * may be under way elsewhere. */
+/* Keeps evhttp from writing the request. The connection is freed in a later
+ * loop iteration and may be established by then, although the request counts
+ * as not sent and may be running at another upstream. */
 static void
-forbid_sending(AttemptConnection_t *this)
+detach_callbacks(AttemptConnection_t *this)
 {
-    bufferevent_setcb(AttemptConnection_stream(this), NULL, NULL, NULL, NULL);
+    bufferevent_setcb(AttemptConnection_bufferevent(this), NULL, NULL, NULL,
+                      NULL);
 }
 
 static void
 on_withdraw(void *owner)
 {
     AttemptConnection_t *this = owner;
-    if (!this->sent && !this->over) {
-        forbid_sending(this);
+    if (!this->sent && !this->closed) {
+        detach_callbacks(this);
         this->withdrawn = TRUE;
-        Clock_arm(this->watch, 0);
+        Clock_arm(this->timeout_timer, 0);
     }
 }
 
@@ -65,14 +68,14 @@
 {
     *this = (AttemptConnection_t){
         .upstream = Upstream_ref(spec->upstream),
-        .patience = spec->patience,
+        .timeouts = spec->timeouts,
         .piece_max = spec->piece_max,
-        .last_heard_ms = Clock_nowMs(),
+        .last_received_ms = Clock_nowMs(),
     };
-    this->watch = Clock_timer(base, spec->on_watch, spec->attempt);
+    this->timeout_timer = Clock_timer(base, spec->on_timeout, spec->attempt);
     this->reaper = Clock_timer(base, spec->on_reap, spec->attempt);
     this->evhttp = Upstream_takeConnection(this->upstream, spec->idle_max_ms,
-                                           this->last_heard_ms);
+                                           this->last_received_ms);
     evhttp_connection_set_max_headers_size(this->evhttp,
                                            (ev_ssize_t)spec->head_max);
     this->waiter = (UpstreamWaiter_t){.withdraw = on_withdraw, .owner = this};
@@ -80,12 +83,12 @@
         Upstream_addWaiter(this->upstream, &this->waiter);
     }
     struct evbuffer *output =
-        bufferevent_get_output(AttemptConnection_stream(this));
+        bufferevent_get_output(AttemptConnection_bufferevent(this));
     this->output_watch = evbuffer_add_cb(output, on_output, this);
     struct evbuffer *input =
-        bufferevent_get_input(AttemptConnection_stream(this));
+        bufferevent_get_input(AttemptConnection_bufferevent(this));
     this->input_watch = evbuffer_add_cb(input, on_input, this);
-    Clock_arm(this->watch, this->patience.connect_ms);
+    Clock_arm(this->timeout_timer, this->timeouts.connect_ms);
 }
 
 void
@@ -94,13 +97,13 @@
                        enum evhttp_cmd_type method, const char *uri)
 {
     if (evhttp_make_request(this->evhttp, request, method, uri) != 0) {
-        this->last_heard_ms = 0;
-        Clock_arm(this->watch, 0);
+        this->last_received_ms = 0;
+        Clock_arm(this->timeout_timer, 0);
     }
 }
 
 struct bufferevent *
-AttemptConnection_stream(const AttemptConnection_t *this)
+AttemptConnection_bufferevent(const AttemptConnection_t *this)
 {
     return evhttp_connection_get_bufferevent(this->evhttp);
 }
@@ -110,48 +113,49 @@
 {
     if (!this->has_data) {
         this->has_data = TRUE;
-        Clock_arm(this->watch, this->patience.pause_ms);
+        Clock_arm(this->timeout_timer, this->timeouts.pause_ms);
     }
 }
 
 static gint64
-patience_ms(const AttemptConnection_t *this)
+current_timeout_ms(const AttemptConnection_t *this)
 {
     if (!this->sent) {
-        return this->patience.connect_ms;
+        return this->timeouts.connect_ms;
     }
-    return this->has_data ? this->patience.pause_ms : this->patience.first_ms;
+    return this->has_data ? this->timeouts.pause_ms : this->timeouts.first_ms;
 }
 
 gint64
-AttemptConnection_leftMs(const AttemptConnection_t *this)
+AttemptConnection_remainingMs(const AttemptConnection_t *this)
 {
-    return this->last_heard_ms + patience_ms(this) - Clock_nowMs();
+    return this->last_received_ms + current_timeout_ms(this) - Clock_nowMs();
 }
 
 void
-AttemptConnection_hold(AttemptConnection_t *this, gboolean held)
+AttemptConnection_setReadPaused(AttemptConnection_t *this,
+                                gboolean read_paused)
 {
-    this->held = held;
-    if (held) {
-        bufferevent_disable(AttemptConnection_stream(this), EV_READ);
+    this->read_paused = read_paused;
+    if (read_paused) {
+        bufferevent_disable(AttemptConnection_bufferevent(this), EV_READ);
     }
     else {
-        bufferevent_enable(AttemptConnection_stream(this), EV_READ);
+        bufferevent_enable(AttemptConnection_bufferevent(this), EV_READ);
     }
 }
 
 gboolean
 AttemptConnection_close(AttemptConnection_t *this)
 {
-    if (this->over) {
+    if (this->closed) {
         return FALSE;
     }
-    this->over = TRUE;
+    this->closed = TRUE;
     if (!this->sent) {
-        forbid_sending(this);
+        detach_callbacks(this);
     }
-    evtimer_del(this->watch);
+    evtimer_del(this->timeout_timer);
     Clock_arm(this->reaper, 0);
     return TRUE;
 }
@@ -160,18 +164,18 @@
 AttemptConnection_clear(AttemptConnection_t *this)
 {
     struct evbuffer *output =
-        bufferevent_get_output(AttemptConnection_stream(this));
+        bufferevent_get_output(AttemptConnection_bufferevent(this));
     struct evbuffer *input =
-        bufferevent_get_input(AttemptConnection_stream(this));
+        bufferevent_get_input(AttemptConnection_bufferevent(this));
     evbuffer_remove_cb_entry(output, this->output_watch);
     evbuffer_remove_cb_entry(input, this->input_watch);
-    if (this->keep && Upstream_canKeep(this->upstream)) {
+    if (this->reusable && Upstream_canKeep(this->upstream)) {
         Upstream_keepConnection(this->upstream, this->evhttp, Clock_nowMs());
     }
     else {
         evhttp_connection_free(this->evhttp);
     }
-    event_free(this->watch);
+    event_free(this->timeout_timer);
     event_free(this->reaper);
     Upstream_removeWaiter(this->upstream, &this->waiter);
     Upstream_unref(this->upstream);
--- a/src/AttemptConnection.h
+++ b/src/AttemptConnection.h
@@ -3,11 +3,10 @@
 /**
  * DOC: AttemptConnection
  *
- * The connection that one attempt has to its upstream, an idle one or a new
- * one, and the two timers of the attempt: one that sees when the upstream is
- * silent for too long, and one that frees the attempt outside of evhttp's
- * callbacks. In the end the connection goes back to the upstream or is
- * closed.
+ * The connection of one attempt to its upstream, an idle or a new one, and the
+ * attempt's two timers: the timeout timer, which detects a silent upstream,
+ * and the reaper, which frees the attempt outside of evhttp's callbacks. At
+ * the end the connection is returned to the upstream's idle list or closed.
  */
 #include <event2/event.h>
 #include <event2/http.h>
@@ -16,61 +15,67 @@
 #include "Upstream.h"
 
 /**
- * struct Patience_t - how long an upstream may be silent, in milliseconds
- * @connect_ms: until the connection stands
- * @first_ms: from then on until the first data
- * @pause_ms: from then on between data
+ * struct AttemptTimeouts_t - timeouts of an attempt, in milliseconds
+ * @connect_ms: until the connection is established and the request is written
+ * @first_ms: from then until the first data
+ * @pause_ms: from then between data
  */
 typedef struct {
     gint64 connect_ms;
     gint64 first_ms;
     gint64 pause_ms;
-} Patience_t;
+} AttemptTimeouts_t;
 
 /**
- * struct AttemptConnectionSpec_t - what it needs
- * @upstream: whose connection is taken
+ * struct AttemptConnectionSpec_t - parameters of a connection
+ * @upstream: the upstream to connect to
  * @idle_max_ms: as for Upstream_takeConnection()
- * @is_new_work: it is not sent where the upstream takes no new work any more
- * @patience: with its upstream
- * @piece_max: most bytes of one event, or of an answer without events
- * @head_max: most bytes of the answer's head
- * @on_watch: the time of the watch is over, or too much came at once
+ * @is_new_work: the request must not be sent once the upstream takes no new
+ *     work
+ * @timeouts: timeouts of the attempt
+ * @piece_max: maximum size of one event, or of an answer without events, in
+ *     bytes
+ * @head_max: maximum size of the response headers, in bytes
+ * @on_timeout: the timeout timer expired, or @input_oversized or @withdrawn of
+ *     AttemptConnection_t was set
  * @on_reap: calls AttemptConnection_clear() and frees the attempt
- * @attempt: data of both callbacks
+ * @attempt: argument of both callbacks
  */
 typedef struct {
     Upstream_t *upstream;
     gint64 idle_max_ms;
     gboolean is_new_work;
-    Patience_t patience;
+    AttemptTimeouts_t timeouts;
     gsize piece_max;
     gsize head_max;
-    event_callback_fn on_watch;
+    event_callback_fn on_timeout;
     event_callback_fn on_reap;
     void *attempt;
 } AttemptConnectionSpec_t;
 
 /**
- * struct AttemptConnection_t - part of an attempt
- * @upstream: one reference
- * @evhttp: the connection itself
- * @waiter: of the upstream, which may withdraw the request
- * @output_watch: sees when the request is written
- * @input_watch: sees when too much waits to be parsed
- * @watch: runs until the upstream was silent for too long
- * @reaper: runs once the attempt is over
- * @patience: with the upstream
- * @piece_max: most bytes of one event, or of an answer without events
- * @last_heard_ms: monotonic time of the last sign of life; set by the attempt
+ * struct AttemptConnection_t - connection of an attempt, embedded in it
+ * @upstream: the upstream; holds one reference
+ * @evhttp: the connection
+ * @waiter: entry in the upstream's list of requests that it may withdraw
+ * @output_watch: buffer callback that detects when the request is written
+ * @input_watch: buffer callback that detects oversized input
+ * @timeout_timer: expires when the upstream has been silent for too long
+ * @reaper: frees the attempt once it is closed
+ * @timeouts: timeouts of the attempt
+ * @piece_max: maximum size of one event, or of an answer without events, in
+ *     bytes
+ * @last_received_ms: monotonic time from which the current timeout counts; the
+ *     attempt sets it when data arrives
  * @sent: the request may have been written
- * @has_data: the first data came
- * @held: nothing is read for now
- * @overfull: more than one event may have waits to be parsed
- * @withdrawn: it is not sent, as the upstream takes no new work any more; the
- *     watch runs out at once
- * @over: no event may be told any more
- * @keep: it ended cleanly and can be used again; set by the attempt
+ * @has_data: the first data arrived
+ * @read_paused: reading is paused
+ * @input_oversized: the unparsed input is larger than @piece_max allows
+ * @withdrawn: the upstream takes no new work, so the request is not sent; the
+ *     timeout timer expires at once
+ * @closed: the attempt ended and must not call its owner any more
+ * @reusable: the response ended cleanly, so that the connection can be reused;
+ *     set by the attempt
  */
 typedef struct {
     Upstream_t *upstream;
@@ -78,55 +83,58 @@
     UpstreamWaiter_t waiter;
     struct evbuffer_cb_entry *output_watch;
     struct evbuffer_cb_entry *input_watch;
-    struct event *watch;
+    struct event *timeout_timer;
     struct event *reaper;
-    Patience_t patience;
+    AttemptTimeouts_t timeouts;
     gsize piece_max;
-    gint64 last_heard_ms;
+    gint64 last_received_ms;
     gboolean sent;
     gboolean has_data;
-    gboolean held;
-    gboolean overfull;
+    gboolean read_paused;
+    gboolean input_oversized;
     gboolean withdrawn;
-    gboolean over;
-    gboolean keep;
+    gboolean closed;
+    gboolean reusable;
 } AttemptConnection_t;
 
-/** AttemptConnection_init() - take a connection and start the watch */
+/** AttemptConnection_init() - take a connection and start the timeout timer */
 void AttemptConnection_init(AttemptConnection_t *this, struct event_base *base,
                             const AttemptConnectionSpec_t *spec);
 
 /**
  * AttemptConnection_send() - send the request
  *
- * Where that fails, the watch runs out at once.
+ * If evhttp fails to send it, the timeout timer expires at once.
  */
 void AttemptConnection_send(AttemptConnection_t *this,
                             struct evhttp_request *request,
                             enum evhttp_cmd_type method, const char *uri);
 
-/** AttemptConnection_stream() - what the connection reads and writes */
-struct bufferevent *AttemptConnection_stream(const AttemptConnection_t *this);
+/** AttemptConnection_bufferevent() - the connection's bufferevent */
+struct bufferevent *
+AttemptConnection_bufferevent(const AttemptConnection_t *this);
 
-/** AttemptConnection_noteData() - data came: the pauses count from now on */
+/** AttemptConnection_noteData() - note that data arrived; @pause_ms applies
+ * from now on */
 void AttemptConnection_noteData(AttemptConnection_t *this);
 
-/** AttemptConnection_leftMs() - how much longer it may be silent; 0 or less
- * once that was too long */
-gint64 AttemptConnection_leftMs(const AttemptConnection_t *this);
+/** AttemptConnection_remainingMs() - time until the current timeout; 0 or less
+ * once it has expired */
+gint64 AttemptConnection_remainingMs(const AttemptConnection_t *this);
 
-/** AttemptConnection_hold() - read no more, or read on */
-void AttemptConnection_hold(AttemptConnection_t *this, gboolean held);
+/** AttemptConnection_setReadPaused() - pause or resume reading */
+void AttemptConnection_setReadPaused(AttemptConnection_t *this,
+                                     gboolean read_paused);
 
 /**
- * AttemptConnection_close() - the attempt is over; the reaper comes next
+ * AttemptConnection_close() - end the attempt and schedule the reaper
  *
- * Return: FALSE where it was over already
+ * Return: FALSE if it was closed already
  */
 gboolean AttemptConnection_close(AttemptConnection_t *this);
 
-/** AttemptConnection_clear() - give the connection back or close it, and free
- * the rest */
+/** AttemptConnection_clear() - return the connection to the upstream or close
+ * it, and free the other members */
 void AttemptConnection_clear(AttemptConnection_t *this);
 
 #endif
--- a/src/Exchange.c
+++ b/src/Exchange.c
@@ -5,10 +5,10 @@
 #include "Random.h"
 
 #define MAX_BACKOFF_DOUBLINGS 6
-/* The deadline is looked at in such steps: a timer does not count the time for
- * which the machine is suspended, and a request would be held as much longer
- * than its caller waits. */
-#define DEADLINE_STEP_MS 500
+/* Interval at which the deadline is checked. Timers do not count the time
+ * during which the machine is suspended, so with a single timer the request
+ * would be held that much longer than its caller waits. */
+#define DEADLINE_CHECK_MS 500
 
 static void
 set_upstream(Upstream_t **slot, Upstream_t *upstream)
@@ -34,11 +34,11 @@
 void
 Exchange_place(Exchange_t *this)
 {
-    if (this->over || this->left) {
+    if (this->over || this->caller_left) {
         return;
     }
-    if (Exchange_isHeld(this)) {
-        Exchange_refuseHeld(this);
+    if (Exchange_isQuarantined(this)) {
+        Exchange_refuseQuarantined(this);
         return;
     }
     this->class->place(this);
@@ -52,46 +52,47 @@
     Exchange_place(data);
 }
 
-/* One timer serves the next attempt, then the grace, then the end. */
+/* One timer serves the next attempt, the grace period and the destruction, as
+ * only one of them is pending at a time. */
 static void
-run_later(Exchange_t *this, event_callback_fn callback, gint64 ms)
+restart_next_timer(Exchange_t *this, event_callback_fn callback, gint64 ms)
 {
-    event_free(this->later);
-    this->later = Clock_timer(this->context->base, callback, this);
-    Clock_arm(this->later, ms);
+    event_free(this->next_timer);
+    this->next_timer = Clock_timer(this->context->base, callback, this);
+    Clock_arm(this->next_timer, ms);
 }
 
 static void
 end_exchange(Exchange_t *this, const char *outcome, RunState_t run)
 {
     this->over = TRUE;
-    if (this->guard) {
-        OnceGuard_end(this->guard, run);
-        this->guard = NULL;
+    if (this->once_guard) {
+        OnceGuard_end(this->once_guard, run);
+        this->once_guard = NULL;
     }
     this->context->open_requests--;
     CrashGuard_leave(this->context->crashes, this);
     CustomerLimits_leave(this->context->limits, this->customer->str);
-    RateGate_leave(&this->gate, run != RUN_NOT);
-    UpstreamGate_leave(&this->room);
+    RateGate_leave(&this->rate_gate, run != RUN_NOT);
+    UpstreamGate_leave(&this->upstream_gate);
     ExchangeLog_end(this, outcome);
     this->trace->outcome = outcome;
     Traces_keep(this->context->traces, this->trace);
-    evtimer_del(this->deadline);
-    run_later(this, on_reap, 0);
+    evtimer_del(this->deadline_timer);
+    restart_next_timer(this, on_reap, 0);
 }
 
 static void
-abandon(Exchange_t *this)
+abandon_stream(Exchange_t *this)
 {
     if (this->class->abandon) {
         this->class->abandon(this);
     }
 }
 
-/* The attempt no longer counts against its upstream. */
+/* Stops counting the attempt as in flight at its upstream. */
 static void
-drop_attempt(Exchange_t *this, const char *outcome)
+release_attempt(Exchange_t *this, const char *outcome)
 {
     if (!this->upstream) {
         return;
@@ -103,11 +104,11 @@
 }
 
 static void
-take_back_attempt(Exchange_t *this, const char *outcome)
+cancel_attempt(Exchange_t *this, const char *outcome)
 {
     if (this->upstream) {
         this->sent = this->class->drop(this) || this->sent;
-        drop_attempt(this, outcome);
+        release_attempt(this, outcome);
     }
 }
 
@@ -115,7 +116,7 @@
 arm_deadline(Exchange_t *this)
 {
     gint64 left_ms = this->deadline_ms - Clock_nowMs();
-    Clock_arm(this->deadline, MIN(left_ms, DEADLINE_STEP_MS));
+    Clock_arm(this->deadline_timer, MIN(left_ms, DEADLINE_CHECK_MS));
 }
 
 static void
@@ -128,8 +129,8 @@
         arm_deadline(this);
         return;
     }
-    take_back_attempt(this, "deadline");
-    abandon(this);
+    cancel_attempt(this, "deadline");
+    abandon_stream(this);
     Exchange_refuse(this, REFUSAL_DEADLINE_PASSED, Exchange_runState(this),
                     NULL);
 }
@@ -151,18 +152,18 @@
     this->started_us = Clock_nowUs();
     if (spec->body) {
         RequestIdentity_t identity = {spec->customer, spec->path, spec->body};
-        this->subject = CrashSubject_create(&identity);
+        this->crash_subject = CrashSubject_create(&identity);
     }
     this->trace = Trace_create(spec->id, spec->customer, spec->target);
-    this->deadline = Clock_timer(context->base, on_deadline, this);
-    this->later = Clock_timer(context->base, on_backoff, this);
+    this->deadline_timer = Clock_timer(context->base, on_deadline, this);
+    this->next_timer = Clock_timer(context->base, on_backoff, this);
 }
 
 void
 Exchange_clear(Exchange_t *this)
 {
-    event_free(this->deadline);
-    event_free(this->later);
+    event_free(this->deadline_timer);
+    event_free(this->next_timer);
     set_upstream(&this->upstream, NULL);
     set_upstream(&this->avoid, NULL);
     g_string_free(this->id, TRUE);
@@ -172,8 +173,8 @@
     if (this->key) {
         g_string_free(this->key, TRUE);
     }
-    if (this->subject) {
-        CrashSubject_destroy(this->subject);
+    if (this->crash_subject) {
+        CrashSubject_destroy(this->crash_subject);
     }
 }
 
@@ -182,9 +183,9 @@
 {
     this->context->open_requests++;
     CrashGuard_enter(this->context->crashes, this);
-    RetryBudget_setRouters(this->context->budget,
-                           Membership_live(this->context->membership),
-                           Clock_nowMs());
+    RetryBudget_setRouterCount(this->context->budget,
+                               Membership_live(this->context->membership),
+                               Clock_nowMs());
     RetryBudget_deposit(this->context->budget, this->target->str);
     arm_deadline(this);
 }
@@ -203,8 +204,8 @@
 on_claimed(gboolean granted, Refusal_t refusal, RunState_t run, void *data)
 {
     Exchange_t *this = data;
-    if (this->left) {
-        return; /* about to end, which releases the claim */
+    if (this->caller_left) {
+        return; /* end_exchange(), which releases the claim, follows */
     }
     if (granted) {
         Exchange_place(this);
@@ -214,7 +215,7 @@
 }
 
 static void
-claim(Exchange_t *this)
+claim_key(Exchange_t *this)
 {
     Refusal_t refusal = REFUSAL_KEY_REQUIRED;
     OnceGuardSpec_t spec = {
@@ -225,29 +226,29 @@
         .horizon_ms = this->context->settings->platform.claim_horizon_ms,
         .deadline_ms = this->deadline_ms,
     };
-    this->guard = OnceGuard_create(&spec, &refusal);
-    if (!this->guard) {
+    this->once_guard = OnceGuard_create(&spec, &refusal);
+    if (!this->once_guard) {
         Exchange_refuse(this, refusal, RUN_NOT, NULL);
         return;
     }
-    OnceGuard_claim(this->guard, on_claimed, this);
+    OnceGuard_claim(this->once_guard, on_claimed, this);
 }
 
 static void
-on_verdict(void *owner, const RateVerdict_t *verdict)
+on_rate_verdict(void *owner, const RateVerdict_t *verdict)
 {
     Exchange_t *this = owner;
     RefusalNotice_t notice = {REFUSAL_RATE_LIMITED, RUN_NOT, NULL,
                               verdict->retry_after_ms};
-    if (this->over || this->left) {
+    if (this->over || this->caller_left) {
         return;
     }
     if (!verdict->admitted) {
-        ExchangeLog_limited(this, verdict);
+        ExchangeLog_rateLimited(this, verdict);
         Exchange_refuseWith(this, &notice);
     }
     else if (this->key && !this->repeatable) {
-        claim(this);
+        claim_key(this);
     }
     else {
         Exchange_place(this);
@@ -255,10 +256,11 @@
 }
 
 void
-Exchange_enter(Exchange_t *this, const RateRequest_t *rate, const char *key)
+Exchange_admit(Exchange_t *this, const RateRequest_t *rate, const char *key)
 {
     this->key = key ? g_string_new(key) : NULL;
-    RateGate_enter(&this->gate, this->context->rates, rate, on_verdict, this);
+    RateGate_enter(&this->rate_gate, this->context->rates, rate,
+                   on_rate_verdict, this);
 }
 
 void
@@ -269,13 +271,13 @@
     this->attempt_trace =
         Trace_addAttempt(this->trace, upstream->name->str, reason);
     this->attempt_trace->started_us = Clock_nowUs() - this->started_us;
-    this->is_kept = FALSE;
+    this->silence_counted = FALSE;
     set_upstream(&this->upstream, upstream);
     this->origin = NoticeOrigin_begin(upstream, this->id->str);
-    UpstreamGate_use(&this->room, upstream);
-    ExchangeLog_limitedUpstream(this);
-    ExchangeLog_leavingUpstream(this);
-    ExchangeLog_restingUpstream(this);
+    UpstreamGate_use(&this->upstream_gate, upstream);
+    ExchangeLog_sentToLimited(this);
+    ExchangeLog_sentToLeaving(this);
+    ExchangeLog_sentDuringBackoff(this);
     UpstreamRest_noteSent(&upstream->rest, Clock_nowMs());
     upstream->in_flight++;
     upstream->probing = upstream->ejections > 0;
@@ -307,7 +309,7 @@
         Context_countOversized(this->context, this->id->str,
                                this->upstream->name->str);
     }
-    if (is_upstream_fault(end) && !this->is_kept &&
+    if (is_upstream_fault(end) && !this->silence_counted &&
         Upstream_noteFailure(this->upstream, (guint)limits->eject_failures,
                              limits->eject_ms, Clock_nowMs())) {
         ExchangeLog_ejected(this, end);
@@ -315,29 +317,30 @@
 }
 
 void
-Exchange_noteLost(const Exchange_t *this, Upstream_t *upstream,
-                  AttemptEnd_t end)
+Exchange_noteCrashEvidence(const Exchange_t *this, Upstream_t *upstream,
+                           AttemptEnd_t end)
 {
     CrashGuard_t *crashes = this->context->crashes;
     if (end == ATTEMPT_NOT_SENT) {
         CrashGuard_noteUnreached(crashes, upstream);
     }
-    else if (this->subject && (end == ATTEMPT_CUT || end == ATTEMPT_SILENT)) {
-        CrashGuard_noteLost(crashes, this->subject, this->id->str, upstream,
-                            end == ATTEMPT_CUT);
+    else if (this->crash_subject &&
+             (end == ATTEMPT_CUT || end == ATTEMPT_SILENT)) {
+        CrashGuard_noteLost(crashes, this->crash_subject, this->id->str,
+                            upstream, end == ATTEMPT_CUT);
     }
 }
 
 static void
-note_whole(const Exchange_t *this)
+note_complete(const Exchange_t *this)
 {
     gint64 sent_us = this->started_us + this->attempt_trace->started_us;
-    CrashGuard_noteWhole(this->context->crashes, this->subject, this->avoid,
-                         sent_us / CLOCK_US_PER_MS);
+    CrashGuard_noteWhole(this->context->crashes, this->crash_subject,
+                         this->avoid, sent_us / CLOCK_US_PER_MS);
 }
 
 void
-Exchange_noteEnd(Exchange_t *this, AttemptEnd_t end)
+Exchange_noteAttemptEnd(Exchange_t *this, AttemptEnd_t end)
 {
     note_failure(this, end);
     if (end == ATTEMPT_WHOLE) {
@@ -348,82 +351,84 @@
         this->sent = TRUE;
     }
     set_upstream(&this->avoid, this->upstream);
-    drop_attempt(this, Recovery_endName(end));
-    Exchange_noteLost(this, this->avoid, end);
-    if (end == ATTEMPT_WHOLE && this->subject) {
-        note_whole(this);
+    release_attempt(this, Recovery_endName(end));
+    Exchange_noteCrashEvidence(this, this->avoid, end);
+    if (end == ATTEMPT_WHOLE && this->crash_subject) {
+        note_complete(this);
     }
 }
 
 void
-Exchange_avoidNone(Exchange_t *this)
+Exchange_clearAvoided(Exchange_t *this)
 {
     set_upstream(&this->avoid, NULL);
 }
 
 static RecoveryFacts_t
-facts_of(const Exchange_t *this, AttemptEnd_t end)
+recovery_input(const Exchange_t *this, AttemptEnd_t end)
 {
-    RecoveryFacts_t facts = {
+    RecoveryFacts_t input = {
         .end = end,
         .sent = this->sent,
         .repeatable = this->repeatable,
         .attempts = this->attempts,
         .max_attempts = this->max_attempts,
-        .budget = Recovery_isUnsent(end) ||
-                  RetryBudget_hasOne(this->context->budget, this->target->str),
+        .budget =
+            Recovery_isUnsent(end) ||
+            RetryBudget_hasRetry(this->context->budget, this->target->str),
         .time_left = Clock_nowMs() < this->deadline_ms,
     };
     if (this->class->facts) {
-        this->class->facts(this, &facts);
+        this->class->facts(this, &input);
     }
-    return facts;
+    return input;
 }
 
 gboolean
-Exchange_mayRepeat(const Exchange_t *this)
+Exchange_mayRetry(const Exchange_t *this)
 {
-    RecoveryFacts_t facts = facts_of(this, ATTEMPT_SILENT);
-    facts.sent = TRUE;
-    RecoveryPlan_t plan = Recovery_decide(&facts);
+    RecoveryFacts_t input = recovery_input(this, ATTEMPT_SILENT);
+    input.sent = TRUE;
+    RecoveryPlan_t plan = Recovery_decide(&input);
     return plan.step != RECOVERY_GIVE_UP;
 }
 
 void
-Exchange_noteKept(Exchange_t *this)
+Exchange_noteSilent(Exchange_t *this)
 {
-    if (this->is_kept) {
+    if (this->silence_counted) {
         return;
     }
-    RecoveryFacts_t facts = facts_of(this, ATTEMPT_SILENT);
-    ExchangeLog_kept(this, &facts);
+    RecoveryFacts_t input = recovery_input(this, ATTEMPT_SILENT);
+    ExchangeLog_silentAttempt(this, &input);
     note_failure(this, ATTEMPT_SILENT);
-    this->is_kept = TRUE;
+    this->silence_counted = TRUE;
 }
 
-/* At once the first time, as it goes elsewhere; then with full jitter,
- * doubled with each attempt. */
+/* The first retry is immediate, as it goes to another upstream. Later ones
+ * back off exponentially with full jitter. */
 static void
-place_later(Exchange_t *this)
+schedule_retry(Exchange_t *this)
 {
     if (this->attempts <= 1) {
-        Clock_arm(this->later, 0);
+        Clock_arm(this->next_timer, 0);
         return;
     }
     guint doublings = MIN(this->attempts - 1, MAX_BACKOFF_DOUBLINGS);
-    gint64 most =
+    gint64 max_delay_ms =
         (this->context->settings->limits.backoff_ms << doublings) * 2;
-    Clock_arm(this->later, most > 0 ? Random_below((guint32)most) : 0);
+    Clock_arm(this->next_timer,
+              max_delay_ms > 0 ? Random_below((guint32)max_delay_ms) : 0);
 }
 
 void
 Exchange_recover(Exchange_t *this, AttemptEnd_t end, const char *detail)
 {
-    RecoveryFacts_t facts = facts_of(this, end);
-    RecoveryPlan_t plan = Recovery_decide(&facts);
-    ExchangeLog_recovery(this, &facts, &plan);
+    RecoveryFacts_t input = recovery_input(this, end);
+    RecoveryPlan_t plan = Recovery_decide(&input);
+    ExchangeLog_recovery(this, &input, &plan);
     if (plan.step == RECOVERY_GIVE_UP) {
-        abandon(this);
+        abandon_stream(this);
         Exchange_refuse(this, plan.refusal, plan.run, detail);
         return;
     }
@@ -436,42 +441,44 @@
         this->class->resume(this);
         return;
     }
-    abandon(this);
-    place_later(this);
+    abandon_stream(this);
+    schedule_retry(this);
 }
 
 gboolean
-Exchange_isHeld(const Exchange_t *this)
+Exchange_isQuarantined(const Exchange_t *this)
 {
     CrashVerdict_t verdict;
-    return this->subject &&
-           CrashGuard_holds(this->context->crashes, this->subject, &verdict);
+    return this->crash_subject &&
+           CrashGuard_holds(this->context->crashes, this->crash_subject,
+                            &verdict);
 }
 
 void
-Exchange_refuseHeld(Exchange_t *this)
+Exchange_refuseQuarantined(Exchange_t *this)
 {
     CrashVerdict_t verdict = {0};
     CrashGuard_t *crashes = this->context->crashes;
-    CrashGuard_holds(crashes, this->subject, &verdict);
-    CrashGuard_logHeld(crashes, this->subject, &verdict, this->id->str);
+    CrashGuard_holds(crashes, this->crash_subject, &verdict);
+    CrashGuard_logHeld(crashes, this->crash_subject, &verdict, this->id->str);
     RefusalNotice_t notice = {REFUSAL_CRASHES_UPSTREAMS,
                               Exchange_runState(this), NULL,
                               (guint)verdict.wait_ms};
-    abandon(this);
+    abandon_stream(this);
     Exchange_refuseWith(this, &notice);
 }
 
-/* One that has begun is left to show whether it comes through. */
+/* An attempt that has produced a token continues: whether it completes shows
+ * whether the request is harmless. */
 void
-Exchange_recheck(void *exchange)
+Exchange_recheckQuarantine(void *exchange)
 {
     Exchange_t *this = exchange;
-    gboolean waits = this->upstream && !this->over && !this->left &&
-                     this->attempt_trace->first_token_us == 0;
-    if (waits && Exchange_isHeld(this)) {
-        take_back_attempt(this, "held");
-        Exchange_refuseHeld(this);
+    gboolean is_queued = this->upstream && !this->over && !this->caller_left &&
+                         this->attempt_trace->first_token_us == 0;
+    if (is_queued && Exchange_isQuarantined(this)) {
+        cancel_attempt(this, "held");
+        Exchange_refuseQuarantined(this);
     }
 }
 
@@ -493,36 +500,36 @@
 }
 
 static void
-on_grace_over(evutil_socket_t fd, short what, void *data)
+on_grace_expired(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
     Exchange_t *this = data;
-    abandon(this);
+    abandon_stream(this);
     end_exchange(this, "caller_left", Exchange_runState(this));
 }
 
 void
-Exchange_leave(Exchange_t *this, gint64 grace_ms)
+Exchange_noteCallerLeft(Exchange_t *this, gint64 grace_ms)
 {
-    this->left = TRUE;
+    this->caller_left = TRUE;
     Context_countRefusal(this->context, REFUSAL_CALLER_LEFT,
                          Exchange_runState(this), this->id->str,
                          this->target->str, this->customer_class->str, NULL);
-    take_back_attempt(this, "caller_left");
-    evtimer_del(this->deadline);
-    run_later(this, on_grace_over, grace_ms);
+    cancel_attempt(this, "caller_left");
+    evtimer_del(this->deadline_timer);
+    restart_next_timer(this, on_grace_expired, grace_ms);
 }
 
 RunState_t
 Exchange_runState(const Exchange_t *this)
 {
-    RecoveryFacts_t facts = {.sent = this->sent};
+    RecoveryFacts_t input = {.sent = this->sent};
     if (this->class->facts) {
-        this->class->facts(this, &facts);
+        this->class->facts(this, &input);
     }
-    if (facts.tokens > 0) {
+    if (input.tokens > 0) {
         return RUN_DONE;
     }
-    return facts.sent ? RUN_MAYBE : RUN_NOT;
+    return input.sent ? RUN_MAYBE : RUN_NOT;
 }
--- a/src/Exchange.h
+++ b/src/Exchange.h
@@ -3,26 +3,27 @@
 /**
  * DOC: Exchange
  *
- * The life of one admitted request, whatever its form: it is claimed where
- * it may run only once, placed, attempted, placed again where Recovery.h
- * allows, and answered or refused by its deadline at the latest. A form
- * (StreamExchange.h, ServiceExchange.h, RelayExchange.h) extends it with how
+ * The lifecycle of one request: rate limit, claim of its idempotency key if it
+ * must not run twice, choice of an upstream, attempts, retries as Recovery.h
+ * decides, and the answer or refusal, by the deadline at the latest. Derived
+ * types (StreamExchange.h, ServiceExchange.h, RelayExchange.h) implement how
  * an attempt is made and how the caller is answered.
  */
 #include "ExchangeState.h"
 
 /**
- * struct ExchangeSpec_t - what every form knows at admission; see Exchange_t
- * @id: of the request
- * @customer: whose it is; empty for none
- * @customer_class: for counters
- * @target: model or service
- * @priority: of the request
- * @deadline_ms: monotonic
- * @repeatable: running it again does no harm
- * @max_attempts: most attempts
- * @path: with its query
- * @body: its bytes; NULL for the rest of a stream, which runs nothing
+ * struct ExchangeSpec_t - parameters common to all types of exchange
+ * @id: the request's id
+ * @customer: the customer's name; empty for none
+ * @customer_class: the customer's class, a label of counters
+ * @target: name of the model or service
+ * @priority: the request's priority
+ * @deadline_ms: monotonic time by which the answer must be complete
+ * @repeatable: the request may run more than once
+ * @max_attempts: maximum number of attempts
+ * @path: path and query of the request
+ * @body: body of the request; NULL if the caller asks for the remainder of a
+ *     stream, which runs nothing new
  */
 typedef struct {
     const char *id;
@@ -37,110 +38,117 @@
     GBytes *body;
 } ExchangeSpec_t;
 
-/** Exchange_init() - called by a form once it has made its struct */
+/** Exchange_init() - initialize the base; called by the derived type's
+ * constructor */
 void Exchange_init(Exchange_t *this, const ExchangeClass_t *class,
                    Context_t *context, const ExchangeSpec_t *spec);
 
-/** Exchange_clear() - called by a form's destroy() */
+/** Exchange_clear() - free the base's members; called by the derived type's
+ * destroy() */
 void Exchange_clear(Exchange_t *this);
 
-/**
- * Exchange_begin() - count the request and start its deadline
- */
+/** Exchange_begin() - count the request as open and start its deadline */
 void Exchange_begin(Exchange_t *this);
 
 /**
- * Exchange_enter() - place it once its customer's limit leaves room and, where
- * it may run only once, its key is claimed
- * @rate: what it takes; its customer is the exchange's
- * @key: the Idempotency-Key as it came; NULL where nothing is claimed
+ * Exchange_admit() - place the request once it is admitted
+ * @rate: units charged to the customer's rate limit
+ * @key: the Idempotency-Key header; NULL if nothing is claimed
+ *
+ * The customer's rate limit must admit the request and, if the request has a
+ * key and is not repeatable, the key must be claimed. Otherwise the request is
+ * refused.
  */
-void Exchange_enter(Exchange_t *this, const RateRequest_t *rate,
+void Exchange_admit(Exchange_t *this, const RateRequest_t *rate,
                     const char *key);
 
-/** Exchange_place() - choose an upstream for the next attempt, unless nothing
- * may follow; for the parts of an exchange */
+/** Exchange_place() - choose an upstream for the next attempt, unless the
+ * exchange has ended or its caller has left */
 void Exchange_place(Exchange_t *this);
 
-/** Exchange_refuseWith() - tell the caller that it gets no answer and when to
- * come back, and end */
+/** Exchange_refuseWith() - answer with a refusal that may carry a retry delay,
+ * and end the exchange */
 void Exchange_refuseWith(Exchange_t *this, const RefusalNotice_t *notice);
 
-/** Exchange_noteAttempt() - an attempt at an upstream starts now */
+/** Exchange_noteAttempt() - record that an attempt at an upstream starts */
 void Exchange_noteAttempt(Exchange_t *this, Upstream_t *upstream,
                           const char *reason);
 
-/** Exchange_noteNotice() - what the answer to its attempt says of the upstream
- */
+/** Exchange_noteNotice() - apply the notice about the upstream that the answer
+ * to the current attempt carries */
 void Exchange_noteNotice(const Exchange_t *this,
                          const UpstreamNotice_t *notice);
 
 /**
- * Exchange_noteEnd() - an attempt ended by itself
+ * Exchange_noteAttemptEnd() - record the end of the current attempt
  *
- * It counts for or against the upstream, and is dropped. The form goes on
- * with Exchange_finish() or Exchange_recover().
+ * Counts it as a success or a failure of the upstream and releases the
+ * upstream. Not for attempts that were closed by drop(). The derived type then
+ * calls Exchange_finish() or Exchange_recover().
  */
-void Exchange_noteEnd(Exchange_t *this, AttemptEnd_t end);
+void Exchange_noteAttemptEnd(Exchange_t *this, AttemptEnd_t end);
 
 /**
- * Exchange_avoidNone() - the upstream of the last attempt is as good as any
+ * Exchange_clearAvoided() - allow the next attempt to use the last upstream
  *
- * Only what was known of it was out of date.
+ * For an attempt that failed only because this router's state of the upstream
+ * was out of date.
  */
-void Exchange_avoidNone(Exchange_t *this);
+void Exchange_clearAvoided(Exchange_t *this);
 
 /**
- * Exchange_recover() - do what Recovery.h decides after a failed attempt
- * @detail: for a refusal, or NULL
+ * Exchange_recover() - execute what Recovery.h decides after a failed attempt
+ * @detail: detail of a refusal, or NULL
  */
 void Exchange_recover(Exchange_t *this, AttemptEnd_t end, const char *detail);
 
 /**
- * Exchange_mayRepeat() - whether an attempt that is given up now, after it
- * was sent, could be followed by another one
+ * Exchange_mayRetry() - whether another attempt could follow if the current
+ * one were given up as silent after it was sent
  */
-gboolean Exchange_mayRepeat(const Exchange_t *this);
+gboolean Exchange_mayRetry(const Exchange_t *this);
 
 /**
- * Exchange_noteKept() - the attempt under way is silent, and is waited for as
- * none may follow it
+ * Exchange_noteSilent() - record that the current attempt is silent but is not
+ * given up, as no other attempt may follow
  *
- * It is told of once, and counts as a failure of its upstream, or others would
- * be sent to one that stands still.
+ * Logs it and counts a failure of the upstream, once per attempt. Without the
+ * failure, other requests would still be sent to a stalled upstream.
  */
-void Exchange_noteKept(Exchange_t *this);
+void Exchange_noteSilent(Exchange_t *this);
 
-/** Exchange_finish() - the caller has its whole answer */
+/** Exchange_finish() - end the exchange; the caller has the complete answer */
 void Exchange_finish(Exchange_t *this);
 
-/** Exchange_refuse() - tell the caller that it gets no answer, and end */
+/** Exchange_refuse() - answer with a refusal and end the exchange */
 void Exchange_refuse(Exchange_t *this, Refusal_t refusal, RunState_t run,
                      const char *detail);
 
 /**
- * Exchange_leave() - the caller is gone
- * @grace_ms: how long until what the form keeps up is abandoned
+ * Exchange_noteCallerLeft() - cancel the attempt, as the caller disconnected
+ * @grace_ms: delay after which the stream at the engine is abandoned and the
+ *     exchange ends; the caller may resume the stream at any router until then
  */
-void Exchange_leave(Exchange_t *this, gint64 grace_ms);
+void Exchange_noteCallerLeft(Exchange_t *this, gint64 grace_ms);
 
-/** Exchange_noteLost() - an attempt ended at an upstream, which may have ended
- * under it */
-void Exchange_noteLost(const Exchange_t *this, Upstream_t *upstream,
-                       AttemptEnd_t end);
+/** Exchange_noteCrashEvidence() - report the end of an attempt to the crash
+ * guard if the upstream may have crashed during it or was not reached */
+void Exchange_noteCrashEvidence(const Exchange_t *this, Upstream_t *upstream,
+                                AttemptEnd_t end);
 
-/** Exchange_isHeld() - whether it must not be sent, as upstreams have ended
- * under requests like it */
-gboolean Exchange_isHeld(const Exchange_t *this);
+/** Exchange_isQuarantined() - whether the request must not be sent, as equal
+ * requests have crashed upstreams */
+gboolean Exchange_isQuarantined(const Exchange_t *this);
 
-/** Exchange_refuseHeld() - tell the caller so */
-void Exchange_refuseHeld(Exchange_t *this);
+/** Exchange_refuseQuarantined() - refuse the request as quarantined */
+void Exchange_refuseQuarantined(Exchange_t *this);
 
-/** Exchange_recheck() - a request is held back from now on: where it is this
- * one, and its attempt waits in an upstream's queue, it is taken from there */
-void Exchange_recheck(void *exchange);
+/** Exchange_recheckQuarantine() - cancel and refuse the request if it has been
+ * quarantined and its attempt has no first token yet; called for each open
+ * exchange when a request is quarantined */
+void Exchange_recheckQuarantine(void *exchange);
 
-/** Exchange_runState() - what is known of the request so far */
+/** Exchange_runState() - whether the request has run so far */
 RunState_t Exchange_runState(const Exchange_t *this);
 
 #endif
--- a/src/ExchangeLog.c
+++ b/src/ExchangeLog.c
@@ -3,13 +3,13 @@
 #include "Clock.h"
 #include "Log.h"
 
-/* Only of customers that have a limit. */
+/* Adds the rate limit's charge if the customer has a limit. */
 static void
-log_rate(const RateGate_t *gate)
+log_rate(const RateGate_t *rate_gate)
 {
-    if (gate->by && gate->request.limit.per_s > 0) {
-        Log_number("units", (gint64)gate->request.units);
-        Log_text("rate_by", gate->by);
+    if (rate_gate->by && rate_gate->request.limit.per_s > 0) {
+        Log_number("units", (gint64)rate_gate->request.units);
+        Log_text("rate_by", rate_gate->by);
     }
 }
 
@@ -23,7 +23,7 @@
     Log_text("outcome", outcome);
     Log_number("attempts", this->attempts);
     Log_number("us", Clock_nowUs() - this->started_us);
-    log_rate(&this->gate);
+    log_rate(&this->rate_gate);
     if (this->class->log_end) {
         this->class->log_end(this);
     }
@@ -31,9 +31,9 @@
 }
 
 void
-ExchangeLog_limited(const Exchange_t *this, const RateVerdict_t *verdict)
+ExchangeLog_rateLimited(const Exchange_t *this, const RateVerdict_t *verdict)
 {
-    const RateRequest_t *rate = &this->gate.request;
+    const RateRequest_t *rate = &this->rate_gate.request;
     Log_begin(LOG_LEVEL_INFO, "request_limited");
     Log_text("request", this->id->str);
     Log_text("customer", this->customer->str);
@@ -49,7 +49,7 @@
 }
 
 void
-ExchangeLog_limitedUpstream(const Exchange_t *this)
+ExchangeLog_sentToLimited(const Exchange_t *this)
 {
     const UpstreamLimit_t *limit = &this->upstream->limit;
     if (!limit->is_named) {
@@ -66,7 +66,7 @@
 }
 
 void
-ExchangeLog_leavingUpstream(const Exchange_t *this)
+ExchangeLog_sentToLeaving(const Exchange_t *this)
 {
     if (!this->upstream->leaving) {
         return;
@@ -82,7 +82,7 @@
 }
 
 void
-ExchangeLog_restingUpstream(const Exchange_t *this)
+ExchangeLog_sentDuringBackoff(const Exchange_t *this)
 {
     const UpstreamRest_t *rest = &this->upstream->rest;
     gint64 now_ms = Clock_nowMs();
@@ -113,38 +113,38 @@
 }
 
 static void
-log_facts(const Exchange_t *this, const RecoveryFacts_t *facts)
+log_recovery_input(const Exchange_t *this, const RecoveryFacts_t *input)
 {
-    Log_number("attempts", facts->attempts);
-    Log_number("max_attempts", facts->max_attempts);
-    Log_number("sent", facts->sent);
-    Log_number("repeatable", facts->repeatable);
-    Log_number("budget", facts->budget);
+    Log_number("attempts", input->attempts);
+    Log_number("max_attempts", input->max_attempts);
+    Log_number("sent", input->sent);
+    Log_number("repeatable", input->repeatable);
+    Log_number("budget", input->budget);
     Log_number("left_ms", this->deadline_ms - Clock_nowMs());
 }
 
 void
-ExchangeLog_kept(const Exchange_t *this, const RecoveryFacts_t *facts)
+ExchangeLog_silentAttempt(const Exchange_t *this, const RecoveryFacts_t *input)
 {
     Log_begin(LOG_LEVEL_INFO, "attempt_kept");
     Log_text("request", this->id->str);
     Log_text("reason", Recovery_endName(ATTEMPT_SILENT));
     Log_text("upstream", this->upstream->name->str);
-    log_facts(this, facts);
+    log_recovery_input(this, input);
     Log_end();
 }
 
 void
-ExchangeLog_recovery(const Exchange_t *this, const RecoveryFacts_t *facts,
+ExchangeLog_recovery(const Exchange_t *this, const RecoveryFacts_t *input,
                      const RecoveryPlan_t *plan)
 {
     Log_begin(LOG_LEVEL_INFO, "attempt_failed");
     Log_text("request", this->id->str);
-    Log_text("reason", Recovery_endName(facts->end));
+    Log_text("reason", Recovery_endName(input->end));
     Log_text("next", Recovery_stepName(plan->step));
     if (this->avoid) {
         Log_text("upstream", this->avoid->name->str);
     }
-    log_facts(this, facts);
+    log_recovery_input(this, input);
     Log_end();
 }
--- a/src/ExchangeLog.h
+++ b/src/ExchangeLog.h
@@ -3,36 +3,42 @@
 /**
  * DOC: ExchangeLog
  *
- * The lines of the log that tell what is decided in a request's life, each
- * with the facts that decided it.
+ * Log lines about the decisions in a request's lifecycle, each with the values
+ * that led to the decision.
  */
 #include "ExchangeState.h"
 
-/** ExchangeLog_end() - it is over */
+/** ExchangeLog_end() - the exchange ended */
 void ExchangeLog_end(const Exchange_t *this, const char *outcome);
 
-/** ExchangeLog_limited() - its customer is over its limit */
-void ExchangeLog_limited(const Exchange_t *this, const RateVerdict_t *verdict);
+/** ExchangeLog_rateLimited() - the customer's rate limit refused the request
+ */
+void ExchangeLog_rateLimited(const Exchange_t *this,
+                             const RateVerdict_t *verdict);
 
-/** ExchangeLog_limitedUpstream() - an attempt goes to an upstream; nothing
- * where it has no limit */
-void ExchangeLog_limitedUpstream(const Exchange_t *this);
+/** ExchangeLog_sentToLimited() - an attempt starts; logged if its upstream has
+ * announced a rate limit */
+void ExchangeLog_sentToLimited(const Exchange_t *this);
 
-/** ExchangeLog_leavingUpstream() - an attempt goes to an upstream; nothing
- * unless it has said that it leaves */
-void ExchangeLog_leavingUpstream(const Exchange_t *this);
+/** ExchangeLog_sentToLeaving() - an attempt starts; logged and counted if its
+ * upstream has announced that it is leaving */
+void ExchangeLog_sentToLeaving(const Exchange_t *this);
 
-/** ExchangeLog_restingUpstream() - the same where it has asked for rest */
-void ExchangeLog_restingUpstream(const Exchange_t *this);
+/** ExchangeLog_sentDuringBackoff() - an attempt starts; logged and counted if
+ * its upstream has asked for a backoff that has not ended */
+void ExchangeLog_sentDuringBackoff(const Exchange_t *this);
 
-/** ExchangeLog_ejected() - its upstream gets no work for a while */
+/** ExchangeLog_ejected() - the current attempt's failure ejected its upstream
+ */
 void ExchangeLog_ejected(const Exchange_t *this, AttemptEnd_t end);
 
-/** ExchangeLog_kept() - its upstream is silent and is waited for */
-void ExchangeLog_kept(const Exchange_t *this, const RecoveryFacts_t *facts);
+/** ExchangeLog_silentAttempt() - the current attempt is silent and is not
+ * given up */
+void ExchangeLog_silentAttempt(const Exchange_t *this,
+                               const RecoveryFacts_t *input);
 
-/** ExchangeLog_recovery() - what follows a failed attempt */
-void ExchangeLog_recovery(const Exchange_t *this, const RecoveryFacts_t *facts,
+/** ExchangeLog_recovery() - the step that follows a failed attempt */
+void ExchangeLog_recovery(const Exchange_t *this, const RecoveryFacts_t *input,
                           const RecoveryPlan_t *plan);
 
 #endif
--- a/src/ExchangeState.h
+++ b/src/ExchangeState.h
@@ -3,8 +3,8 @@
 /**
  * DOC: ExchangeState
  *
- * What the life of a request holds (Exchange.h), for its forms and for what is
- * logged of it.
+ * The state of an exchange (Exchange.h), visible to its derived types, to its
+ * log lines and to ExchangeCapacity.h.
  */
 #include "Context.h"
 #include "CrashSubject.h"
@@ -16,15 +16,19 @@
 typedef struct Exchange Exchange_t;
 
 /**
- * struct ExchangeClass_t - one form
- * @destroy: free what the form added and the exchange itself
- * @place: choose an upstream and start an attempt, or refuse
- * @drop: close the attempt under way; whether its request may have been sent
- * @refuse: answer the caller, unless it is gone
- * @facts: add what only the form knows; may be NULL
- * @resume: ask the same upstream for the rest; may be NULL
- * @abandon: nothing is resumed any more; may be NULL
- * @log_end: add pairs to the line of the end; may be NULL
+ * struct ExchangeClass_t - functions of a derived type
+ * @destroy: call Exchange_clear() and free the exchange
+ * @place: choose an upstream and start an attempt, or refuse the request
+ * @drop: close the current attempt; returns whether its request may have been
+ *     sent
+ * @refuse: send a refusal, unless the caller has left
+ * @facts: set the members of the recovery input that the derived type knows;
+ *     may be NULL
+ * @resume: request the remainder of the stream from the same upstream; may be
+ *     NULL
+ * @abandon: cancel the stream at the engine, as it is not resumed any more;
+ *     may be NULL
+ * @log_end: add key-value pairs to the request_done log line; may be NULL
  */
 typedef struct {
     void (*destroy)(Exchange_t *this);
@@ -38,36 +42,39 @@
 } ExchangeClass_t;
 
 /**
- * struct Exchange - extended by each form
- * @class: the form
+ * struct Exchange - base of the derived types
+ * @class: functions of the derived type
  * @context: parts of the router
- * @id: of the request
- * @customer: whose it is; empty for none
- * @customer_class: for counters
- * @target: model or service
- * @priority: of the request
- * @started_us: when it was admitted
- * @deadline_ms: monotonic time by which the answer must be whole
- * @repeatable: running it again does no harm
- * @max_attempts: most attempts
- * @gate: at its customer's limit
- * @room: at the limits of upstreams
- * @waits_for_room: no other upstream will do
- * @key: that it is claimed by, or NULL where it is not
- * @guard: its claim, or NULL
- * @subject: by which it is known again; NULL where it has no body
- * @deadline: its timer
- * @later: timer of the next attempt, the grace, or the end
- * @trace: of the request
- * @attempt_trace: of the last attempt
- * @upstream: of the attempt under way, or NULL
- * @origin: of its answer
- * @avoid: of the attempt before, where it failed
- * @attempts: so far
- * @sent: an attempt was sent and not proved "not run"
- * @is_kept: the attempt under way is silent, which is counted already
- * @left: the caller is gone
- * @over: nothing follows
+ * @id: the request's id
+ * @customer: the customer's name; empty for none
+ * @customer_class: the customer's class, a label of counters
+ * @target: name of the model or service
+ * @priority: the request's priority
+ * @started_us: monotonic time of Exchange_init()
+ * @deadline_ms: monotonic time by which the answer must be complete
+ * @repeatable: the request may run more than once
+ * @max_attempts: maximum number of attempts
+ * @rate_gate: the request's charge to the customer's rate limit
+ * @upstream_gate: the request's charge to the limit of an upstream
+ * @needs_same_upstream: the next attempt is a resume, which must use the same
+ *     upstream and waits for capacity there
+ * @key: the Idempotency-Key, or NULL if nothing is claimed
+ * @once_guard: claim of @key, or NULL
+ * @crash_subject: identity of the request for the crash guard; NULL without a
+ *     body
+ * @deadline_timer: fires every DEADLINE_CHECK_MS and at the deadline
+ * @next_timer: delays the next attempt, then the end of the grace period, then
+ *     the destruction
+ * @trace: the request's trace
+ * @attempt_trace: trace of the last attempt
+ * @upstream: upstream of the current attempt, or NULL
+ * @origin: origin of notices in the current attempt's answer
+ * @avoid: upstream of the previous attempt, or NULL
+ * @attempts: number of attempts so far
+ * @sent: an attempt was sent and the upstream has not reported it as not run
+ * @silence_counted: the current attempt is silent and was counted as a failure
+ * @caller_left: the caller disconnected
+ * @over: the exchange has ended; only its destruction follows
  */
 struct Exchange {
     const ExchangeClass_t *class;
@@ -81,14 +88,14 @@
     gint64 deadline_ms;
     gboolean repeatable;
     guint max_attempts;
-    RateGate_t gate;
-    UpstreamGate_t room;
-    gboolean waits_for_room;
+    RateGate_t rate_gate;
+    UpstreamGate_t upstream_gate;
+    gboolean needs_same_upstream;
     GString *key;
-    OnceGuard_t *guard;
-    CrashSubject_t *subject;
-    struct event *deadline;
-    struct event *later;
+    OnceGuard_t *once_guard;
+    CrashSubject_t *crash_subject;
+    struct event *deadline_timer;
+    struct event *next_timer;
     Trace_t *trace;
     TraceAttempt_t *attempt_trace;
     Upstream_t *upstream;
@@ -96,8 +103,8 @@
     Upstream_t *avoid;
     guint attempts;
     gboolean sent;
-    gboolean is_kept;
-    gboolean left;
+    gboolean silence_counted;
+    gboolean caller_left;
     gboolean over;
 };
 
--- a/src/NativeParts.c
+++ b/src/NativeParts.c
@@ -103,7 +103,7 @@
         .epoch = this->epoch,
         .topic = CRASH_STREAM,
         .connects = TRUE,
-        .recheck = Exchange_recheck,
+        .recheck = Exchange_recheckQuarantine,
     };
     context->crashes = CrashGuard_create(context->base, &crashes);
 }
--- a/src/PendingReply.c
+++ b/src/PendingReply.c
@@ -1,13 +1,13 @@
 #include "PendingReply.h"
 
-static guint pending;
+static guint pending_count;
 
 static void
 on_closed(struct evhttp_connection *connection, void *data)
 {
     (void)connection;
     (void)data;
-    pending--;
+    pending_count--;
 }
 
 static void
@@ -17,7 +17,7 @@
     struct evhttp_connection *connection =
         evhttp_request_get_connection(request);
     evhttp_connection_set_closecb(connection, NULL, NULL);
-    pending--;
+    pending_count--;
 }
 
 void
@@ -28,7 +28,7 @@
     if (!connection) {
         return;
     }
-    pending++;
+    pending_count++;
     evhttp_connection_set_closecb(connection, on_closed, NULL);
     evhttp_request_set_on_complete_cb(request, on_complete, NULL);
 }
@@ -36,5 +36,5 @@
 guint
 PendingReply_count(void)
 {
-    return pending;
+    return pending_count;
 }
--- a/src/PendingReply.h
+++ b/src/PendingReply.h
@@ -3,20 +3,22 @@
 /**
  * DOC: PendingReply
  *
- * Counts replies that were handed to evhttp and have not gone out to the
- * caller yet, so that a stopping router does not cut off the last bytes.
+ * Counts replies that were passed to evhttp and are not completely sent yet,
+ * so that a stopping router does not truncate them.
  */
 #include <event2/http.h>
 #include <glib.h>
 
 /**
- * PendingReply_watch() - call it right before a reply is sent or ended
+ * PendingReply_watch() - count a reply until it is sent or its connection
+ * closes
  *
- * It takes over the close callback of the request's connection.
+ * Must be called right before the reply is sent or ended. Replaces the close
+ * callback of the request's connection.
  */
 void PendingReply_watch(struct evhttp_request *request);
 
-/** PendingReply_count() - replies that have not gone out */
+/** PendingReply_count() - number of replies that are not sent yet */
 guint PendingReply_count(void);
 
 #endif
--- a/src/RelayAttempt.c
+++ b/src/RelayAttempt.c
@@ -38,8 +38,8 @@
 {
     AttemptConnection_t *connection = &this->connection;
     evutil_socket_t fd =
-        bufferevent_getfd(AttemptConnection_stream(connection));
-    connection->keep = connection->keep && fd >= 0;
+        bufferevent_getfd(AttemptConnection_bufferevent(connection));
+    connection->reusable = connection->reusable && fd >= 0;
     AttemptConnection_clear(connection);
     g_string_free(this->request_id, TRUE);
     g_free(this);
@@ -78,12 +78,12 @@
         end_attempt(this, ATTEMPT_TAKEN_BACK);
     }
     else {
-        Clock_arm(this->connection.watch, SILENCE_RECHECK_MS);
+        Clock_arm(this->connection.timeout_timer, SILENCE_RECHECK_MS);
     }
 }
 
 static void
-on_watch(evutil_socket_t fd, short what, void *data)
+on_timeout(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
@@ -93,13 +93,13 @@
         end_attempt(this, ATTEMPT_WITHDRAWN);
         return;
     }
-    if (connection->overfull) {
+    if (connection->input_oversized) {
         end_attempt(this, ATTEMPT_OVERSIZED);
         return;
     }
-    gint64 left_ms = AttemptConnection_leftMs(connection);
-    if (left_ms > 0 || connection->held) {
-        Clock_arm(connection->watch, MAX(left_ms, WATCH_MIN_MS));
+    gint64 left_ms = AttemptConnection_remainingMs(connection);
+    if (left_ms > 0 || connection->read_paused) {
+        Clock_arm(connection->timeout_timer, MAX(left_ms, WATCH_MIN_MS));
         return;
     }
     if (is_not_run(this)) {
@@ -118,10 +118,10 @@
 {
     RelayAttempt_t *this = data;
     struct evbuffer *input = evhttp_request_get_input_buffer(request);
-    if (this->connection.over) {
+    if (this->connection.closed) {
         return;
     }
-    this->connection.last_heard_ms = Clock_nowMs();
+    this->connection.last_received_ms = Clock_nowMs();
     if (!this->has_head || is_not_run(this)) {
         return;
     }
@@ -154,13 +154,13 @@
 on_headers(struct evhttp_request *request, void *data)
 {
     RelayAttempt_t *this = data;
-    if (this->connection.over) {
+    if (this->connection.closed) {
         return 0;
     }
     struct evkeyvalq *headers = evhttp_request_get_input_headers(request);
-    this->connection.last_heard_ms = Clock_nowMs();
+    this->connection.last_received_ms = Clock_nowMs();
     Upstream_noteReached(this->connection.upstream,
-                         this->connection.last_heard_ms);
+                         this->connection.last_received_ms);
     this->form->read_head(evhttp_request_get_response_code(request), headers,
                           this->request_id->str,
                           this->connection.upstream->name->str, &this->head);
@@ -169,7 +169,7 @@
     if (this->head.matches_request) {
         this->events->answered(this->owner, &this->head);
     }
-    if (this->connection.over) {
+    if (this->connection.closed) {
         return 0;
     }
     if (this->expected_end == ATTEMPT_MISMATCH ||
@@ -187,7 +187,8 @@
 static gboolean
 has_trailing_bytes(const RelayAttempt_t *this)
 {
-    struct bufferevent *stream = AttemptConnection_stream(&this->connection);
+    struct bufferevent *stream =
+        AttemptConnection_bufferevent(&this->connection);
     return evbuffer_get_length(bufferevent_get_input(stream)) > 0;
 }
 
@@ -196,11 +197,11 @@
 {
     RelayAttempt_t *this = data;
     int status = request ? evhttp_request_get_response_code(request) : 0;
-    if (this->connection.over) {
+    if (this->connection.closed) {
         return;
     }
     if (is_not_run(this)) {
-        this->connection.keep = status != 0 && !has_trailing_bytes(this);
+        this->connection.reusable = status != 0 && !has_trailing_bytes(this);
         end_attempt(this, ATTEMPT_NOT_RUN);
     }
     else if (status == 0 || !this->has_head) {
@@ -208,7 +209,7 @@
                     this->connection.sent ? ATTEMPT_CUT : ATTEMPT_NOT_SENT);
     }
     else {
-        this->connection.keep = !has_trailing_bytes(this);
+        this->connection.reusable = !has_trailing_bytes(this);
         end_attempt(this, this->expected_end);
     }
 }
@@ -224,7 +225,7 @@
 set_socket_options(const RelayAttempt_t *this)
 {
     evutil_socket_t fd =
-        bufferevent_getfd(AttemptConnection_stream(&this->connection));
+        bufferevent_getfd(AttemptConnection_bufferevent(&this->connection));
     if (fd < 0) {
         return;
     }
@@ -267,10 +268,10 @@
         .upstream = spec->upstream,
         .idle_max_ms = spec->idle_max_ms,
         .is_new_work = TRUE,
-        .patience = {spec->connect_ms, spec->first_ms, spec->pause_ms},
+        .timeouts = {spec->connect_ms, spec->first_ms, spec->pause_ms},
         .piece_max = spec->piece_max,
         .head_max = spec->head_max,
-        .on_watch = on_watch,
+        .on_timeout = on_timeout,
         .on_reap = on_reap,
         .attempt = this,
     };
@@ -313,12 +314,12 @@
 }
 
 void
-RelayAttempt_hold(RelayAttempt_t *this, gboolean held)
+RelayAttempt_hold(RelayAttempt_t *this, gboolean read_paused)
 {
     AttemptConnection_t *connection = &this->connection;
-    if (connection->held == held || connection->over) {
+    if (connection->read_paused == read_paused || connection->closed) {
         return;
     }
-    AttemptConnection_hold(connection, held);
-    connection->last_heard_ms = Clock_nowMs();
+    AttemptConnection_setReadPaused(connection, read_paused);
+    connection->last_received_ms = Clock_nowMs();
 }
--- a/src/RelayDispatch.c
+++ b/src/RelayDispatch.c
@@ -1,7 +1,7 @@
 #include "RelayDispatch.h"
 
 #include "Clock.h"
-#include "ExchangeRoom.h"
+#include "ExchangeCapacity.h"
 #include "LoadShed.h"
 #include "RelayRun.h"
 
@@ -35,7 +35,7 @@
         *refusal = REFUSAL_CALLER_LEFT;
         return FALSE;
     }
-    if (Exchange_isHeld(&this->super)) {
+    if (Exchange_isQuarantined(&this->super)) {
         *refusal = REFUSAL_CRASHES_UPSTREAMS;
         return FALSE;
     }
@@ -92,7 +92,7 @@
 refuse_request(Exchange_t *super, Refusal_t refusal)
 {
     if (refusal == REFUSAL_CRASHES_UPSTREAMS) {
-        Exchange_refuseHeld(super);
+        Exchange_refuseQuarantined(super);
         return;
     }
     gboolean depends_on_config =
@@ -120,7 +120,7 @@
         refuse_request(super, REFUSAL_OVERLOADED);
         return;
     }
-    if (!ExchangeRoom_mayGo(super, destination->choice.upstream)) {
+    if (!ExchangeCapacity_acquire(super, destination->choice.upstream)) {
         return;
     }
     RelayPlacer_prepare(super->context, input, destination);
@@ -142,13 +142,13 @@
     }
     RelayPlacer_choose(super->context, input, destination);
     if (!destination->choice.upstream && input->terms.permitted) {
-        ExchangeRoom_forgo(super);
+        ExchangeCapacity_release(super);
         input->terms.permitted = NULL;
         RelayPlacer_choose(super->context, input, destination);
     }
     if (!destination->choice.upstream) {
         RelayDestination_log(destination, super->id->str, &this->request);
-        ExchangeRoom_refuse(super, &destination->placement);
+        ExchangeCapacity_refuse(super, &destination->placement);
         return FALSE;
     }
     return TRUE;
@@ -163,7 +163,7 @@
     RelayDestination_t destination;
     this->query = NULL;
     this->ticket = *ticket;
-    if (this->super.over || this->super.left ||
+    if (this->super.over || this->super.caller_left ||
         !choose_upstream(this, &input, &destination)) {
         RelayExchange_endTicket(this);
         return;
@@ -185,7 +185,8 @@
                   const RelayPlacementInput_t *input)
 {
     const Exchange_t *super = &this->super;
-    gboolean was_queried = input->terms.permitted || super->room.refusals > 0;
+    gboolean was_queried =
+        input->terms.permitted || super->upstream_gate.refusals > 0;
     return this->route->by_prefix && !was_queried ? super->context->dispatch
                                                   : NULL;
 }
--- a/src/RelayExchange.c
+++ b/src/RelayExchange.c
@@ -3,7 +3,7 @@
 #include <event2/buffer.h>
 
 #include "Clock.h"
-#include "ExchangeRoom.h"
+#include "ExchangeCapacity.h"
 #include "HttpCall.h"
 #include "Log.h"
 #include "RelayDispatch.h"
@@ -24,7 +24,7 @@
         .service = this->super.target->str,
         .customer = this->customer,
         .request = &this->request,
-        .terms = ExchangeRoom_terms(&this->super),
+        .terms = ExchangeCapacity_terms(&this->super),
     };
 }
 
@@ -167,7 +167,7 @@
          RelayAttempt_wasSent(this->attempt))) {
         return;
     }
-    Exchange_leave(super, 0);
+    Exchange_noteCallerLeft(super, 0);
 }
 
 static void
@@ -278,5 +278,5 @@
     this->answer =
         RelayAnswer_create(context->base, &answer, &answer_events, this);
     Exchange_begin(&this->super);
-    Exchange_enter(&this->super, &rate, NULL);
+    Exchange_admit(&this->super, &rate, NULL);
 }
--- a/src/RelayMove.c
+++ b/src/RelayMove.c
@@ -147,7 +147,7 @@
     RelayExchange_t *exchange = this->exchange;
     StreamMover_remove(get_context(this)->mover, exchange);
     RelayRun_cancel(exchange);
-    Exchange_noteEnd(&exchange->super, ATTEMPT_MOVED);
+    Exchange_noteAttemptEnd(&exchange->super, ATTEMPT_MOVED);
     adopt_attempt(this);
 }
 
@@ -222,7 +222,7 @@
     this->attempt = NULL;
     this->may_have_run = end != ATTEMPT_NOT_RUN && !Recovery_isUnsent(end);
     RelayFeedback_clearPending(&this->feedback);
-    Exchange_noteLost(&this->exchange->super, this->upstream, end);
+    Exchange_noteCrashEvidence(&this->exchange->super, this->upstream, end);
     if (end == ATTEMPT_OVERSIZED) {
         cancel_oversized(this);
         return;
@@ -394,7 +394,7 @@
 {
     RelayExchange_t *this = stream;
     if (!this->move && EventPipe_isNumbered(this->event_pipe) &&
-        Exchange_mayRepeat(&this->super)) {
+        Exchange_mayRetry(&this->super)) {
         start_move(this, &unloading);
     }
 }
@@ -424,7 +424,7 @@
 void
 RelayMove_allow(RelayExchange_t *this)
 {
-    if (this->route->by_prefix && Exchange_mayRepeat(&this->super)) {
+    if (this->route->by_prefix && Exchange_mayRetry(&this->super)) {
         StreamMover_add(this->super.context->mover, this, &movable_class);
     }
 }
@@ -462,7 +462,7 @@
 gboolean
 RelayMove_failOver(RelayExchange_t *this)
 {
-    if (!this->move || !this->move->attempt || this->super.left ||
+    if (!this->move || !this->move->attempt || this->super.caller_left ||
         this->super.over) {
         return FALSE;
     }
--- a/src/RelayParts.c
+++ b/src/RelayParts.c
@@ -170,7 +170,7 @@
         .source = this->records,
         .epoch = this->epoch,
         .topic = form->crash_topic,
-        .recheck = Exchange_recheck,
+        .recheck = Exchange_recheckQuarantine,
     };
     context->crashes = CrashGuard_create(context->base, &crashes);
 }
--- a/src/RelayRun.c
+++ b/src/RelayRun.c
@@ -140,7 +140,7 @@
     }
     RelayFeedback_noteReachability(&this->feedback, end);
     RelayFeedback_noteEnd(&this->feedback);
-    Exchange_noteEnd(&this->super, end);
+    Exchange_noteAttemptEnd(&this->super, end);
 }
 
 /* Once a part of a stream was sent, only its remainder can follow: any other
@@ -240,7 +240,7 @@
         return SILENCE_WAIT;
     }
     gboolean may_move = RelayFeedback_noteSilence(&this->feedback) &&
-                        Exchange_mayRepeat(super) && may_retry(this);
+                        Exchange_mayRetry(super) && may_retry(this);
     return may_move && !this->run_events->hedge(this) ? SILENCE_GIVE_UP
                                                       : SILENCE_WAIT;
 }
--- a/src/RetryBudget.c
+++ b/src/RetryBudget.c
@@ -2,38 +2,38 @@
 
 #include "Random.h"
 
-/* Balances are in hundredths of a retry. */
-#define ONE_RETRY 100
-/* Of what a target may hold, this part is kept for failures. */
-#define SPARE_PARTS 2
-/* How long a smaller share is kept after routers have gone out of sight. */
-#define SHARE_MEMORY_MS 60000
-/* Targets remembered; a configuration has far fewer. */
+/* Cost of a retry. Balances are in hundredths of a retry. */
+#define RETRY_COST 100
+/* A target's maximum balance divided by this is reserved for failures. */
+#define HEADROOM_DIVISOR 2
+/* How long the router count stays after fewer routers are seen. */
+#define ROUTER_COUNT_HOLD_MS 60000
+/* Bound on the balances stored; a configuration has far fewer targets. */
 #define TARGETS_MAX 1024
 
 struct RetryBudget {
     guint percent;
     guint allowance;
     guint routers;
-    guint draw;           /* below 2 retries; decides whether it may move */
-    gint64 shrunk_ms;     /* when fewer routers were first seen, 0 for not */
-    GHashTable *balances; /* target -> guint * */
+    guint random_draw;     /* 0 to 2 retries; see is_drawn_to_spend() */
+    gint64 fewer_since_ms; /* when fewer routers were first seen, or 0 */
+    GHashTable *balances;  /* target -> guint * */
 };
 
 RetryBudget_t *
 RetryBudget_create(guint percent, guint allowance)
 {
     RetryBudget_t *this = g_new0(RetryBudget_t, 1);
-    RetryBudget_setShare(this, percent, allowance);
+    RetryBudget_setLimits(this, percent, allowance);
     this->routers = 1;
-    this->draw = Random_below(SPARE_PARTS * ONE_RETRY);
+    this->random_draw = Random_below(HEADROOM_DIVISOR * RETRY_COST);
     this->balances =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return this;
 }
 
 void
-RetryBudget_setShare(RetryBudget_t *this, guint percent, guint allowance)
+RetryBudget_setLimits(RetryBudget_t *this, guint percent, guint allowance)
 {
     this->percent = percent;
     this->allowance = percent > 0 ? allowance : 0;
@@ -47,29 +47,30 @@
 }
 
 void
-RetryBudget_setRouters(RetryBudget_t *this, guint routers, gint64 now_ms)
+RetryBudget_setRouterCount(RetryBudget_t *this, guint routers, gint64 now_ms)
 {
     if (routers >= this->routers) {
         this->routers = routers;
-        this->shrunk_ms = 0;
+        this->fewer_since_ms = 0;
     }
-    else if (this->shrunk_ms == 0) {
-        this->shrunk_ms = now_ms;
+    else if (this->fewer_since_ms == 0) {
+        this->fewer_since_ms = now_ms;
     }
-    else if (now_ms - this->shrunk_ms >= SHARE_MEMORY_MS) {
+    else if (now_ms - this->fewer_since_ms >= ROUTER_COUNT_HOLD_MS) {
         this->routers = MAX(routers, 1);
-        this->shrunk_ms = 0;
+        this->fewer_since_ms = 0;
     }
 }
 
 static guint
-share(const RetryBudget_t *this)
+allowance_share(const RetryBudget_t *this)
 {
-    return this->allowance * ONE_RETRY / this->routers;
+    return this->allowance * RETRY_COST / this->routers;
 }
 
-/* What a target may hold at most is the share of the allowance, so that in
- * no span of time more is spent than that and what its requests earned. */
+/* Limits a target's balance to this router's share of the allowance, or one
+ * retry if the share is smaller, so that in any period no more is spent than
+ * that limit and what the target's requests earned. */
 static guint *
 balance_of(RetryBudget_t *this, const char *target)
 {
@@ -79,10 +80,10 @@
             g_hash_table_remove_all(this->balances);
         }
         balance = g_new0(guint, 1);
-        *balance = share(this);
+        *balance = allowance_share(this);
         g_hash_table_insert(this->balances, g_strdup(target), balance);
     }
-    *balance = MIN(*balance, MAX(share(this), ONE_RETRY));
+    *balance = MIN(*balance, MAX(allowance_share(this), RETRY_COST));
     return balance;
 }
 
@@ -93,37 +94,40 @@
 }
 
 gboolean
-RetryBudget_hasOne(RetryBudget_t *this, const char *target)
+RetryBudget_hasRetry(RetryBudget_t *this, const char *target)
 {
-    return this->percent > 0 && *balance_of(this, target) >= ONE_RETRY;
+    return this->percent > 0 && *balance_of(this, target) >= RETRY_COST;
 }
 
-/* A share under two retries can't be halved: instead routers drawn at random,
- * for half of the allowance, may spend all they have. Below one retry the
- * balances together may be more than the allowance, which must not be spent at
- * once by a roll-out that all routers see. */
+/* A share below two retries can't be halved. Instead, randomly drawn routers
+ * may spend a full balance; together they spend half of the allowance. With
+ * shares below one retry, the balances of all routers may exceed the
+ * allowance, and a roll-out that all routers see at once must not spend them.
+ */
 static gboolean
-may_spend_share(const RetryBudget_t *this)
+is_drawn_to_spend(const RetryBudget_t *this)
 {
-    return share(this) >= ONE_RETRY && this->draw < share(this);
+    return allowance_share(this) >= RETRY_COST &&
+           this->random_draw < allowance_share(this);
 }
 
 gboolean
-RetryBudget_hasSpare(RetryBudget_t *this, const char *target)
+RetryBudget_hasHeadroom(RetryBudget_t *this, const char *target)
 {
     guint balance = *balance_of(this, target);
     if (this->percent == 0) {
         return FALSE;
     }
-    if (share(this) >= SPARE_PARTS * ONE_RETRY) {
-        return balance >= ONE_RETRY + share(this) / SPARE_PARTS;
+    if (allowance_share(this) >= HEADROOM_DIVISOR * RETRY_COST) {
+        return balance >=
+               RETRY_COST + allowance_share(this) / HEADROOM_DIVISOR;
     }
-    return balance >= share(this) && may_spend_share(this);
+    return balance >= allowance_share(this) && is_drawn_to_spend(this);
 }
 
 void
 RetryBudget_withdraw(RetryBudget_t *this, const char *target)
 {
     guint *balance = balance_of(this, target);
-    *balance -= MIN(*balance, ONE_RETRY);
+    *balance -= MIN(*balance, RETRY_COST);
 }
--- a/src/RetryBudget.h
+++ b/src/RetryBudget.h
@@ -3,10 +3,11 @@
 /**
  * DOC: RetryBudget
  *
- * Bounds the retries of all routers together to a share of the requests for
- * a target and a small allowance, so that a failing upstream never multiplies
- * the load on the others. Each router spends its own share of the allowance
- * and of what its own requests earn, so that nothing has to be agreed.
+ * Limits the retries of all routers together to a percentage of the requests
+ * for a target plus a small allowance, so that a failing upstream never
+ * multiplies the load on the others. Each router spends its share of the
+ * allowance and what its own requests earn, so that routers need not
+ * coordinate.
  */
 #include <glib.h>
 
@@ -14,42 +15,46 @@
 typedef struct RetryBudget RetryBudget_t;
 
 /**
- * RetryBudget_create() - each target starts with the whole allowance
- * @percent: retries for each 100 requests
- * @allowance: retries of all routers together beyond that
+ * RetryBudget_create() - each target starts with the full allowance
+ * @percent: retries earned by 100 requests; 0 disables retries
+ * @allowance: retries of all routers together beyond those earned
  */
 RetryBudget_t *RetryBudget_create(guint percent, guint allowance);
 
-/** RetryBudget_setShare() - other numbers from now on, as for create */
-void RetryBudget_setShare(RetryBudget_t *this, guint percent, guint allowance);
+/** RetryBudget_setLimits() - change the parameters of RetryBudget_create() */
+void RetryBudget_setLimits(RetryBudget_t *this, guint percent,
+                           guint allowance);
 
-/** RetryBudget_destroy() - free it */
+/** RetryBudget_destroy() - free the budget */
 void RetryBudget_destroy(RetryBudget_t *this);
 
 /**
- * RetryBudget_setRouters() - how many routers share the allowance
+ * RetryBudget_setRouterCount() - set how many routers share the allowance
  *
- * A router that loses sight of the others goes on with the smaller share for
- * a while: it may be the only one that is cut off.
+ * A lower count takes effect only after ROUTER_COUNT_HOLD_MS: a router that
+ * loses contact with the others may be the only one that is partitioned, and
+ * keeps its smaller share until then.
  */
-void RetryBudget_setRouters(RetryBudget_t *this, guint routers, gint64 now_ms);
+void RetryBudget_setRouterCount(RetryBudget_t *this, guint routers,
+                                gint64 now_ms);
 
-/** RetryBudget_deposit() - a new request for a target came */
+/** RetryBudget_deposit() - earn a fraction of a retry for a new request */
 void RetryBudget_deposit(RetryBudget_t *this, const char *target);
 
-/** RetryBudget_hasOne() - whether a retry may be made at a target */
-gboolean RetryBudget_hasOne(RetryBudget_t *this, const char *target);
+/** RetryBudget_hasRetry() - whether a retry for a target is left */
+gboolean RetryBudget_hasRetry(RetryBudget_t *this, const char *target);
 
 /**
- * RetryBudget_hasSpare() - whether a retry that is not needed may be made
+ * RetryBudget_hasHeadroom() - whether an optional retry may be made
  *
- * Half of what a target may hold is kept for failures; where a share is
- * under two retries, that of about half of the allowance, by other routers.
- * Where it is under one, there is none to spare.
+ * Half of a target's maximum balance is reserved for failures. A share below
+ * two retries can't be halved; then about half of the allowance is reserved by
+ * routers, chosen at random, that make no optional retry at all. With a share
+ * below one retry, no router makes an optional retry.
  */
-gboolean RetryBudget_hasSpare(RetryBudget_t *this, const char *target);
+gboolean RetryBudget_hasHeadroom(RetryBudget_t *this, const char *target);
 
-/** RetryBudget_withdraw() - a retry is made */
+/** RetryBudget_withdraw() - spend one retry */
 void RetryBudget_withdraw(RetryBudget_t *this, const char *target);
 
 #endif
--- a/src/Router.c
+++ b/src/Router.c
@@ -351,8 +351,8 @@
     Log_setLevel((LogLevel_t)limits->log_level);
     UpstreamSet_setIdleMax(this->context.upstreams,
                            (guint)limits->idle_connections);
-    RetryBudget_setShare(this->context.budget, (guint)limits->retry_percent,
-                         (guint)limits->retry_allowance);
+    RetryBudget_setLimits(this->context.budget, (guint)limits->retry_percent,
+                          (guint)limits->retry_allowance);
     set_bounds(this, this->callers);
     set_bounds(this, this->operators);
     if (this->readiness) {
--- a/src/ServiceExchange.c
+++ b/src/ServiceExchange.c
@@ -7,7 +7,7 @@
 #include "Clock.h"
 #include "EngineHttp.h"
 #include "Errors.h"
-#include "ExchangeRoom.h"
+#include "ExchangeCapacity.h"
 #include "HttpCall.h"
 #include "PendingReply.h"
 #include "Random.h"
@@ -84,7 +84,7 @@
     ServiceExchange_t *this = owner;
     if (!HttpCall_wasSent(this->call)) {
         cancel_call(this);
-        Exchange_noteEnd(&this->super, ATTEMPT_WITHDRAWN);
+        Exchange_noteAttemptEnd(&this->super, ATTEMPT_WITHDRAWN);
         Exchange_recover(&this->super, ATTEMPT_WITHDRAWN, NULL);
     }
 }
@@ -181,7 +181,7 @@
             &EngineHttp_wire.notices, answer->status, answer->headers);
         Exchange_noteNotice(&this->super, &notice);
     }
-    Exchange_noteEnd(&this->super, end);
+    Exchange_noteAttemptEnd(&this->super, end);
     if (end == ATTEMPT_WHOLE) {
         pass_on(this, answer);
         return;
@@ -232,13 +232,13 @@
 choose(Exchange_t *super, Placement_t *placement)
 {
     Policy_t *policy = super->context->service_policy;
-    PlacementTerms_t terms = ExchangeRoom_terms(super);
+    PlacementTerms_t terms = ExchangeCapacity_terms(super);
     Placement_setTerms(placement, &terms);
     Choice_t choice = Policy_choose(policy, placement);
     if (choice.upstream || !terms.permitted) {
         return choice;
     }
-    ExchangeRoom_forgo(super);
+    ExchangeCapacity_release(super);
     placement->permitted = NULL;
     return Policy_choose(policy, placement);
 }
@@ -258,13 +258,13 @@
     };
     Choice_t choice = choose(super, &placement);
     if (choice.upstream) {
-        if (ExchangeRoom_mayGo(super, choice.upstream)) {
+        if (ExchangeCapacity_acquire(super, choice.upstream)) {
             start_call((ServiceExchange_t *)super, choice.upstream,
                        choice.reason);
         }
     }
     else {
-        ExchangeRoom_refuse(super, &placement);
+        ExchangeCapacity_refuse(super, &placement);
     }
 }
 
@@ -318,5 +318,5 @@
     Exchange_begin(&this->super);
     RateRequest_t rate =
         Caller_rate(spec->caller, this->super.customer->str, 0);
-    Exchange_enter(&this->super, &rate, spec->caller->key);
+    Exchange_admit(&this->super, &rate, spec->caller->key);
 }
--- a/src/StreamExchange.c
+++ b/src/StreamExchange.c
@@ -4,7 +4,7 @@
 #include "Attempt.h"
 #include "Clock.h"
 #include "EngineHttp.h"
-#include "ExchangeRoom.h"
+#include "ExchangeCapacity.h"
 #include "HttpCall.h"
 #include "Log.h"
 #include "Placer.h"
@@ -126,7 +126,7 @@
     }
     gboolean may_return =
         this->prompt && this->prompt->stream && this->stream.upstream;
-    Exchange_leave(
+    Exchange_noteCallerLeft(
         super,
         may_return ? super->context->settings->limits.resume_grace_ms : 0);
 }
@@ -136,7 +136,7 @@
 {
     StreamExchange_t *this = owner;
     if (this->attempt) {
-        Attempt_release(this->attempt);
+        Attempt_resumeReading(this->attempt);
     }
 }
 
@@ -152,7 +152,7 @@
     GString *sealed = StreamHandle_seal(
         &this->stream, super->context->settings->keys.seal,
         super->customer->str, super->id->str, super->target->str);
-    Answer_setToken(this->answer, sealed);
+    Answer_setResumeToken(this->answer, sealed);
     g_string_free(sealed, TRUE);
 }
 
@@ -225,12 +225,13 @@
     if (this->super.repeatable) {
         g_string_append_len(this->text, token->text, (gssize)token->length);
     }
-    Answer_token(this->answer, token->text, token->length, token->finish,
-                 this->first_token + this->tokens);
-    if (Answer_isFull(this->answer) && !Attempt_isHeld(this->attempt)) {
+    Answer_writeToken(this->answer, token->text, token->length, token->finish,
+                      this->first_token + this->tokens);
+    if (Answer_isFull(this->answer) &&
+        !Attempt_isReadingPaused(this->attempt)) {
         Counters_add(this->super.context->counters, "streams_held_total", NULL,
                      1);
-        Attempt_hold(this->attempt);
+        Attempt_pauseReading(this->attempt);
     }
 }
 
@@ -263,9 +264,9 @@
     }
     this->attempt = NULL;
     settle_pending(this);
-    Exchange_noteEnd(super, end);
+    Exchange_noteAttemptEnd(super, end);
     if (refusal && refusal->incarnation != 0) {
-        Exchange_avoidNone(super);
+        Exchange_clearAvoided(super);
     }
     if (end == ATTEMPT_WHOLE) {
         finish(this);
@@ -280,10 +281,10 @@
 on_silent(void *owner)
 {
     StreamExchange_t *this = owner;
-    if (Exchange_mayRepeat(&this->super)) {
+    if (Exchange_mayRetry(&this->super)) {
         return TRUE;
     }
-    Exchange_noteKept(&this->super);
+    Exchange_noteSilent(&this->super);
     return FALSE;
 }
 
@@ -346,7 +347,8 @@
         Exchange_place(super);
         return;
     }
-    this->wants_rest = !ExchangeRoom_mayReturn(super, this->stream.upstream);
+    this->wants_rest =
+        !ExchangeCapacity_acquireSame(super, this->stream.upstream);
     if (this->wants_rest) {
         return;
     }
@@ -387,13 +389,13 @@
 choose(StreamExchange_t *this, Placing_t *placing)
 {
     Exchange_t *super = &this->super;
-    PlacementTerms_t terms = ExchangeRoom_terms(super);
+    PlacementTerms_t terms = ExchangeCapacity_terms(super);
     gboolean is_declared = Placer_place(super->context, this->prompt,
                                         super->customer->str, &terms, placing);
     if (!is_declared || placing->choice.upstream || !terms.permitted) {
         return is_declared;
     }
-    ExchangeRoom_forgo(super);
+    ExchangeCapacity_release(super);
     terms.permitted = NULL;
     return Placer_place(super->context, this->prompt, super->customer->str,
                         &terms, placing);
@@ -412,9 +414,9 @@
         Exchange_refuse(super, REFUSAL_UNKNOWN_MODEL, run, NULL);
     }
     else if (!placing.choice.upstream) {
-        ExchangeRoom_refuse(super, &placing.placement);
+        ExchangeCapacity_refuse(super, &placing.placement);
     }
-    else if (ExchangeRoom_mayGo(super, placing.choice.upstream)) {
+    else if (ExchangeCapacity_acquire(super, placing.choice.upstream)) {
         start_new_stream(this, &placing);
     }
 }
@@ -505,6 +507,6 @@
     }
     else {
         RateRequest_t rate = rate_of(this, spec);
-        Exchange_enter(&this->super, &rate, spec->caller->key);
+        Exchange_admit(&this->super, &rate, spec->caller->key);
     }
 }
--- a/src/StreamMover.c
+++ b/src/StreamMover.c
@@ -2,19 +2,19 @@
 
 #include "Clock.h"
 
-/* How often streams are looked through: adds so much to MOVE_AFTER_MS at the
- * most. */
-#define TICK_MS 50
+/* Interval at which streams are checked; delays a move by at most this much
+ * beyond MOVE_DELAY_MS. */
+#define POLL_INTERVAL_MS 50
 
 struct StreamMover {
     const UpstreamSet_t *upstreams;
     RetryBudget_t *budget;
-    GHashTable *streams; /* stream -> MovableClass_t, which is not owned */
-    struct event *tick;
+    GHashTable *streams; /* stream -> MovableClass_t, not owned */
+    struct event *poll_timer;
 };
 
 static guint
-count_targets(const StreamMover_t *this, const char *target, gint64 now_ms)
+count_usable(const StreamMover_t *this, const char *target, gint64 now_ms)
 {
     const GPtrArray *serving =
         UpstreamSet_serving(this->upstreams, ROLE_SERVICE, target);
@@ -32,34 +32,35 @@
 {
     const Upstream_t *upstream = class->upstream(stream);
     return upstream &&
-           Upstream_unloadingMs(upstream, now_ms) >= MOVE_AFTER_MS &&
-           RetryBudget_hasSpare(this->budget, class->target(stream)) &&
-           count_targets(this, class->target(stream), now_ms) >=
+           Upstream_unloadingMs(upstream, now_ms) >= MOVE_DELAY_MS &&
+           RetryBudget_hasHeadroom(this->budget, class->target(stream)) &&
+           count_usable(this, class->target(stream), now_ms) >=
                MOVE_TARGETS_MIN;
 }
 
-/* A move may end a stream, which takes it out of the table. */
+/* Iterates over a copy of the keys, as a move may end streams, which removes
+ * them from the table. */
 void
 StreamMover_tick(StreamMover_t *this, gint64 now_ms)
 {
     g_autoptr(GList) streams = g_hash_table_get_keys(this->streams);
-    for (GList *at = streams; at; at = at->next) {
+    for (GList *link = streams; link; link = link->next) {
         const MovableClass_t *class =
-            g_hash_table_lookup(this->streams, at->data);
-        if (class && is_due(this, at->data, class, now_ms)) {
-            class->move(at->data);
+            g_hash_table_lookup(this->streams, link->data);
+        if (class && is_due(this, link->data, class, now_ms)) {
+            class->move(link->data);
         }
     }
 }
 
 static void
-on_tick(evutil_socket_t fd, short what, void *data)
+on_poll(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
     StreamMover_t *this = data;
     StreamMover_tick(this, Clock_nowMs());
-    Clock_arm(this->tick, TICK_MS);
+    Clock_arm(this->poll_timer, POLL_INTERVAL_MS);
 }
 
 StreamMover_t *
@@ -70,15 +71,15 @@
     this->upstreams = upstreams;
     this->budget = budget;
     this->streams = g_hash_table_new(g_direct_hash, g_direct_equal);
-    this->tick = Clock_timer(base, on_tick, this);
-    Clock_arm(this->tick, TICK_MS);
+    this->poll_timer = Clock_timer(base, on_poll, this);
+    Clock_arm(this->poll_timer, POLL_INTERVAL_MS);
     return this;
 }
 
 void
 StreamMover_destroy(StreamMover_t *this)
 {
-    event_free(this->tick);
+    event_free(this->poll_timer);
     g_hash_table_destroy(this->streams);
     g_free(this);
 }
--- a/src/StreamMover.h
+++ b/src/StreamMover.h
@@ -3,28 +3,30 @@
 /**
  * DOC: StreamMover
  *
- * An engine that is to load weights waits for its running streams to end,
- * which takes longer than the load itself, and serves nobody else meanwhile.
- * Streams that may go on at another engine are taken there instead, as long
- * as the retry budget has more than the failures of others may need.
+ * Moves streams away from engines that are about to load other weights. Such
+ * an engine accepts no requests until its running streams have ended, which
+ * takes longer than the load itself. Streams that can continue at another
+ * engine are moved there, as long as the retry budget has headroom beyond what
+ * is reserved for failures.
  */
 #include <event2/event.h>
 
 #include "Policy.h"
 #include "RetryBudget.h"
 
-/** How long a stream is left to end by itself once its engine pauses, in ms:
- * the order follows the pause by 300 to 450 ms (docs/MEASUREMENTS.md) */
-#define MOVE_AFTER_MS 250
+/** Time for which a stream may end by itself after its engine has paused, in
+ * ms; the order to load follows the pause by 300 to 450 ms
+ * (docs/MEASUREMENTS.md) */
+#define MOVE_DELAY_MS 250
 
-/** Engines that must be left to choose from */
+/** Minimum number of other usable engines for a move */
 #define MOVE_TARGETS_MIN 2
 
 /**
- * struct MovableClass_t - a stream that can be moved
- * @upstream: where it runs, or NULL while it runs nowhere
- * @target: name of what it is for
- * @move: go on elsewhere
+ * struct MovableClass_t - functions of a stream that can be moved
+ * @upstream: the engine that runs the stream, or NULL if none does
+ * @target: name of the model or service that the stream is for
+ * @move: continue the stream at another engine
  */
 typedef struct {
     const Upstream_t *(*upstream)(const void *stream);
@@ -36,25 +38,26 @@
 typedef struct StreamMover StreamMover_t;
 
 /**
- * StreamMover_create() - no stream is known yet
- * @upstreams: tells what else there is; must outlive it
- * @budget: of retries; must outlive it
+ * StreamMover_create() - create a mover without streams
+ * @upstreams: the engines to choose from; must outlive the mover
+ * @budget: each move needs headroom in it; must outlive the mover
  */
 StreamMover_t *StreamMover_create(struct event_base *base,
                                   const UpstreamSet_t *upstreams,
                                   RetryBudget_t *budget);
 
-/** StreamMover_destroy() - free it; no stream may be left */
+/** StreamMover_destroy() - free the mover, which must have no streams */
 void StreamMover_destroy(StreamMover_t *this);
 
-/** StreamMover_add() - a stream may be moved from now on */
+/** StreamMover_add() - allow a stream to be moved */
 void StreamMover_add(StreamMover_t *this, void *stream,
                      const MovableClass_t *class);
 
-/** StreamMover_remove() - it may not any more; nothing if it is not known */
+/** StreamMover_remove() - forbid moving a stream; no effect if not added */
 void StreamMover_remove(StreamMover_t *this, void *stream);
 
-/** StreamMover_tick() - move those that are due; called by a timer as well */
+/** StreamMover_tick() - move the streams that are due; a timer calls it as
+ * well */
 void StreamMover_tick(StreamMover_t *this, gint64 now_ms);
 
 #endif
--- a/tests/test_AttemptConnection.c
+++ b/tests/test_AttemptConnection.c
@@ -9,11 +9,11 @@
 #include "AttemptConnection.h"
 #include "Clock.h"
 
-#define BYTES_MOST 65536
+#define BYTES_MAX 65536
 #define CONNECT_MS 200
-/* A packet that opens a connection and finds no room is sent again after a
- * second. */
-#define AGAIN_MS 1500
+/* Longer than the second after which the kernel resends a SYN that the full
+ * backlog dropped. */
+#define SYN_RETRY_MS 1500
 
 static struct event_base *base;
 static AttemptConnection_t connection;
@@ -22,23 +22,26 @@
 static gboolean reaped;
 
 static int
-listen_without_room(struct sockaddr_in *place)
+listen_with_full_backlog(struct sockaddr_in *listen_address)
 {
-    socklen_t size = sizeof(*place);
+    socklen_t size = sizeof(*listen_address);
     int fd = socket(AF_INET, SOCK_STREAM, 0);
-    *place = (struct sockaddr_in){.sin_family = AF_INET,
-                                  .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
-    ck_assert_int_eq(bind(fd, (struct sockaddr *)place, size), 0);
-    ck_assert_int_eq(getsockname(fd, (struct sockaddr *)place, &size), 0);
+    *listen_address = (struct sockaddr_in){
+        .sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
+    ck_assert_int_eq(bind(fd, (struct sockaddr *)listen_address, size), 0);
+    ck_assert_int_eq(getsockname(fd, (struct sockaddr *)listen_address, &size),
+                     0);
     ck_assert_int_eq(listen(fd, 0), 0);
     filler = socket(AF_INET, SOCK_STREAM, 0);
-    ck_assert_int_eq(connect(filler, (struct sockaddr *)place, size), 0);
+    ck_assert_int_eq(connect(filler, (struct sockaddr *)listen_address, size),
+                     0);
     return fd;
 }
 
-/* It is given up; while this router is busy the connection comes up. */
+/* Closes the attempt as not sent, then frees the backlog and blocks the loop
+ * until the kernel has established the connection. */
 static void
-on_watch(evutil_socket_t fd, short what, void *data)
+on_timeout(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
@@ -46,7 +49,7 @@
     ck_assert(!connection.sent);
     ck_assert(AttemptConnection_close(&connection));
     close(accept(listener, NULL, NULL));
-    g_usleep(AGAIN_MS * CLOCK_US_PER_MS);
+    g_usleep(SYN_RETRY_MS * CLOCK_US_PER_MS);
 }
 
 static void
@@ -68,13 +71,13 @@
 }
 
 static Upstream_t *
-create_upstream(const struct sockaddr_in *place)
+create_upstream(const struct sockaddr_in *listen_address)
 {
     UpstreamSpec_t spec = {.hall = g_string_new("h"),
                            .region = g_string_new("r"),
                            .serves = g_ptr_array_new(),
                            .slots = 1};
-    spec.address = (Address_t){"127.0.0.1", ntohs(place->sin_port)};
+    spec.address = (Address_t){"127.0.0.1", ntohs(listen_address->sin_port)};
     Upstream_t *upstream = Upstream_create(base, "u", &spec, 0);
     g_string_free(spec.hall, TRUE);
     g_string_free(spec.region, TRUE);
@@ -82,28 +85,25 @@
     return upstream;
 }
 
-/* Symptom: a call that may run only once ran at two instances of a service.
- * Sequence: the first one takes as long to connect to as a router waits; the
- * attempt is given up as not sent, and the call goes elsewhere; in the next
- * turn of the loop the connection stands.
- * Cause: what evhttp had to send was written then, as a connection is freed
- * only after the turn in which it was given up.
- * Settled by: the times at which both instances were reached, the first one
- * just as long after the request as a connection may take. */
-START_TEST(nothing_is_sent_once_it_was_given_up_as_not_sent)
+/* A request that must not run twice ran at two instances. Connecting to the
+ * first one took just as long as the connect timeout: the attempt ended as not
+ * sent and the request was sent to the second one. The connection, which is
+ * freed only in the next loop iteration, was established by then, and evhttp
+ * wrote the request to the first one too. */
+START_TEST(request_is_not_sent_after_its_attempt_ended_as_not_sent)
 {
-    struct sockaddr_in place;
+    struct sockaddr_in listen_address;
     char bytes[64];
     base = event_base_new();
-    listener = listen_without_room(&place);
-    Upstream_t *upstream = create_upstream(&place);
+    listener = listen_with_full_backlog(&listen_address);
+    Upstream_t *upstream = create_upstream(&listen_address);
     AttemptConnectionSpec_t spec = {
         .upstream = upstream,
         .idle_max_ms = UPSTREAM_NO_IDLE,
-        .patience = {CONNECT_MS, CONNECT_MS, CONNECT_MS},
-        .piece_max = BYTES_MOST,
-        .head_max = BYTES_MOST,
-        .on_watch = on_watch,
+        .timeouts = {CONNECT_MS, CONNECT_MS, CONNECT_MS},
+        .piece_max = BYTES_MAX,
+        .head_max = BYTES_MAX,
+        .on_timeout = on_timeout,
         .on_reap = on_reap,
     };
     AttemptConnection_init(&connection, base, &spec);
@@ -111,10 +111,10 @@
                            EVHTTP_REQ_GET, "/x");
     event_base_dispatch(base);
     ck_assert(reaped);
-    int came = accept(listener, NULL, NULL);
-    ck_assert_int_ge(came, 0);
-    ck_assert_int_le(recv(came, bytes, sizeof(bytes), 0), 0);
-    close(came);
+    int accepted = accept(listener, NULL, NULL);
+    ck_assert_int_ge(accepted, 0);
+    ck_assert_int_le(recv(accepted, bytes, sizeof(bytes), 0), 0);
+    close(accepted);
     close(filler);
     close(listener);
     Upstream_unref(upstream);
@@ -134,7 +134,7 @@
 }
 
 static void
-leave(evutil_socket_t fd, short what, void *data)
+note_leaving(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
@@ -142,40 +142,40 @@
     ck_assert(Upstream_noteLeaving(data, 0, 1));
 }
 
-/* A request waited for its connection as its upstream said that it leaves, and
- * was sent once the connection stood. */
-START_TEST(nothing_is_sent_to_an_upstream_that_has_said_it_leaves)
+/* The upstream announced that it was leaving while a request waited for its
+ * connection, and the request was sent once the connection was established. */
+START_TEST(request_is_not_sent_to_an_upstream_that_announced_leaving)
 {
-    struct sockaddr_in place;
+    struct sockaddr_in listen_address;
     char bytes[64];
     reaped = FALSE;
     base = event_base_new();
-    listener = listen_without_room(&place);
-    Upstream_t *upstream = create_upstream(&place);
+    listener = listen_with_full_backlog(&listen_address);
+    Upstream_t *upstream = create_upstream(&listen_address);
     AttemptConnectionSpec_t spec = {
         .upstream = upstream,
         .idle_max_ms = UPSTREAM_NO_IDLE,
         .is_new_work = TRUE,
-        .patience = {AGAIN_MS * 2, AGAIN_MS, AGAIN_MS},
-        .piece_max = BYTES_MOST,
-        .head_max = BYTES_MOST,
-        .on_watch = end_withdrawn,
+        .timeouts = {SYN_RETRY_MS * 2, SYN_RETRY_MS, SYN_RETRY_MS},
+        .piece_max = BYTES_MAX,
+        .head_max = BYTES_MAX,
+        .on_timeout = end_withdrawn,
         .on_reap = on_reap,
     };
     AttemptConnection_init(&connection, base, &spec);
     AttemptConnection_send(&connection, evhttp_request_new(on_done, NULL),
                            EVHTTP_REQ_GET, "/x");
-    struct event *told = Clock_timer(base, leave, upstream);
-    Clock_arm(told, CONNECT_MS);
+    struct event *leave_timer = Clock_timer(base, note_leaving, upstream);
+    Clock_arm(leave_timer, CONNECT_MS);
     event_base_dispatch(base);
     ck_assert(reaped);
-    event_free(told);
-    g_usleep(AGAIN_MS * CLOCK_US_PER_MS);
+    event_free(leave_timer);
+    g_usleep(SYN_RETRY_MS * CLOCK_US_PER_MS);
     evutil_make_socket_nonblocking(listener);
-    int came = accept(listener, NULL, NULL);
-    if (came >= 0) {
-        ck_assert_int_le(recv(came, bytes, sizeof(bytes), 0), 0);
-        close(came);
+    int accepted = accept(listener, NULL, NULL);
+    if (accepted >= 0) {
+        ck_assert_int_le(recv(accepted, bytes, sizeof(bytes), 0), 0);
+        close(accepted);
     }
     close(filler);
     close(listener);
@@ -185,5 +185,5 @@
 END_TEST
 
 TESTING_MAIN("AttemptConnection",
-             nothing_is_sent_once_it_was_given_up_as_not_sent,
-             nothing_is_sent_to_an_upstream_that_has_said_it_leaves)
+             request_is_not_sent_after_its_attempt_ended_as_not_sent,
+             request_is_not_sent_to_an_upstream_that_announced_leaving)
--- a/tests/test_Limits.c
+++ b/tests/test_Limits.c
@@ -32,7 +32,7 @@
     guint retries = 0;
     for (int i = 0; i < 1000; i++) {
         RetryBudget_deposit(budget, "s");
-        if (RetryBudget_hasOne(budget, "s")) {
+        if (RetryBudget_hasRetry(budget, "s")) {
             RetryBudget_withdraw(budget, "s");
             retries++;
         }
@@ -42,7 +42,7 @@
     RetryBudget_destroy(budget);
     budget = RetryBudget_create(0, 10);
     RetryBudget_deposit(budget, "s");
-    ck_assert(!RetryBudget_hasOne(budget, "s"));
+    ck_assert(!RetryBudget_hasRetry(budget, "s"));
     RetryBudget_destroy(budget);
 }
 END_TEST
@@ -51,7 +51,7 @@
 spend_all(RetryBudget_t *budget, const char *target)
 {
     guint spent = 0;
-    while (RetryBudget_hasOne(budget, target)) {
+    while (RetryBudget_hasRetry(budget, target)) {
         RetryBudget_withdraw(budget, target);
         spent++;
     }
@@ -61,7 +61,7 @@
 START_TEST(retry_allowance_is_shared_by_all_routers)
 {
     RetryBudget_t *budget = RetryBudget_create(20, 40);
-    RetryBudget_setRouters(budget, 8, 1000);
+    RetryBudget_setRouterCount(budget, 8, 1000);
     ck_assert_uint_eq(spend_all(budget, "a"), 5);
     ck_assert_uint_eq(spend_all(budget, "b"), 5);
     for (int i = 0; i < 1000; i++) {
@@ -69,9 +69,9 @@
     }
     ck_assert_uint_le(spend_all(budget, "a"), 5);
     /* One that is cut off from the others keeps to its share at first. */
-    RetryBudget_setRouters(budget, 1, 2000);
+    RetryBudget_setRouterCount(budget, 1, 2000);
     ck_assert_uint_eq(spend_all(budget, "c"), 5);
-    RetryBudget_setRouters(budget, 1, 100000);
+    RetryBudget_setRouterCount(budget, 1, 100000);
     ck_assert_uint_eq(spend_all(budget, "d"), 40);
     RetryBudget_destroy(budget);
 }
@@ -99,7 +99,7 @@
     Random_seed(7);
     for (guint i = 0; i < count; i++) {
         this->budgets[i] = RetryBudget_create(PERCENT, ALLOWANCE);
-        RetryBudget_setRouters(this->budgets[i], count, 1000);
+        RetryBudget_setRouterCount(this->budgets[i], count, 1000);
     }
     return this;
 }
@@ -124,7 +124,7 @@
             RetryBudget_deposit(budget, "s");
         }
         this->earned[round] += requests;
-        while (RetryBudget_hasSpare(budget, "s")) {
+        while (RetryBudget_hasHeadroom(budget, "s")) {
             RetryBudget_withdraw(budget, "s");
             this->moves++;
             this->spent[round]++;
--- a/tests/test_StreamMover.c
+++ b/tests/test_StreamMover.c
@@ -9,7 +9,7 @@
 #define NOW_MS 100000
 #define PAUSE_MS 2500
 #define PERCENT 20
-/* The share of one router: two retries, one of which is kept for failures. */
+/* The one router's share: two retries, one of them reserved for failures. */
 #define ALLOWANCE 2
 
 typedef struct {
@@ -71,7 +71,7 @@
 }
 
 static void
-begin(void)
+set_up(void)
 {
     base = event_base_new();
     upstreams = UpstreamSet_create(base, 0);
@@ -83,7 +83,7 @@
 }
 
 static void
-end(void)
+tear_down(void)
 {
     StreamMover_destroy(mover);
     RetryBudget_destroy(budget);
@@ -100,53 +100,53 @@
 
 START_TEST(a_stream_leaves_an_engine_that_is_to_load)
 {
-    begin();
+    set_up();
     ck_assert_uint_eq(moves_at(NOW_MS), 0);
     Upstream_noteUnloading(engine(0), PAUSE_MS, NOW_MS);
-    ck_assert_uint_eq(moves_at(NOW_MS + MOVE_AFTER_MS - 1), 0);
-    ck_assert_uint_eq(moves_at(NOW_MS + MOVE_AFTER_MS), 1);
-    ck_assert_uint_eq(moves_at(NOW_MS + MOVE_AFTER_MS), 1);
-    end();
+    ck_assert_uint_eq(moves_at(NOW_MS + MOVE_DELAY_MS - 1), 0);
+    ck_assert_uint_eq(moves_at(NOW_MS + MOVE_DELAY_MS), 1);
+    ck_assert_uint_eq(moves_at(NOW_MS + MOVE_DELAY_MS), 1);
+    tear_down();
 }
 END_TEST
 
 START_TEST(a_stream_stays_where_its_engine_only_sheds)
 {
-    begin();
+    set_up();
     Upstream_notePause(engine(0), PAUSE_MS, NOW_MS);
-    ck_assert_uint_eq(moves_at(NOW_MS + MOVE_AFTER_MS), 0);
-    end();
+    ck_assert_uint_eq(moves_at(NOW_MS + MOVE_DELAY_MS), 0);
+    tear_down();
 }
 END_TEST
 
 START_TEST(a_stream_stays_once_its_engine_has_loaded)
 {
-    begin();
+    set_up();
     Upstream_noteUnloading(engine(0), PAUSE_MS, NOW_MS);
     Upstream_noteWeights(engine(0), "2");
-    ck_assert_uint_eq(moves_at(NOW_MS + MOVE_AFTER_MS), 0);
-    end();
+    ck_assert_uint_eq(moves_at(NOW_MS + MOVE_DELAY_MS), 0);
+    tear_down();
 }
 END_TEST
 
 START_TEST(a_stream_stays_where_too_few_engines_are_left)
 {
-    begin();
+    set_up();
     Upstream_noteUnloading(engine(0), PAUSE_MS, NOW_MS);
     Upstream_noteUnreached(engine(1));
-    ck_assert_uint_eq(moves_at(NOW_MS + MOVE_AFTER_MS), 0);
-    end();
+    ck_assert_uint_eq(moves_at(NOW_MS + MOVE_DELAY_MS), 0);
+    tear_down();
 }
 END_TEST
 
 START_TEST(half_of_the_retries_are_kept_for_failures)
 {
-    begin();
+    set_up();
     Upstream_noteUnloading(engine(0), PAUSE_MS, NOW_MS);
     RetryBudget_withdraw(budget, TARGET);
-    ck_assert(RetryBudget_hasOne(budget, TARGET));
-    ck_assert_uint_eq(moves_at(NOW_MS + MOVE_AFTER_MS), 0);
-    end();
+    ck_assert(RetryBudget_hasRetry(budget, TARGET));
+    ck_assert_uint_eq(moves_at(NOW_MS + MOVE_DELAY_MS), 0);
+    tear_down();
 }
 END_TEST
 
