--- a/bench/Replay.c
+++ b/bench/Replay.c
@@ -5,7 +5,7 @@
 
 #include "CacheStore.h"
 #include "Clock.h"
-#include "Forecast.h"
+#include "EstimateError.h"
 #include "LoadShed.h"
 #include "Policies.h"
 #include "Random.h"
@@ -91,7 +91,7 @@
     GArray *firsts[REPLAY_KINDS]; /* gint64 */
     Policy_t *policy;
     Tickets_t *tickets;
-    Forecast_t *forecast;
+    EstimateError_t *estimate_error;
     GPtrArray *stores; /* CacheStore_t, as the dispatcher of each group sees */
     struct event_base *base;
     guint64 next_ticket;
@@ -252,7 +252,7 @@
 placement_of(const Replay_t *this, const Request_t *request, guint which)
 {
     const ReplayFleet_t *fleet = &this->spec->fleet;
-    gint64 spread_us = Forecast_spreadUs(this->forecast, TARGET);
+    gint64 spread_us = EstimateError_spreadUs(this->estimate_error, TARGET);
     return (Placement_t){
         .target = TARGET,
         .serving = this->serving,
@@ -367,8 +367,8 @@
     const Upstream_t *upstream = engine_at(this, request->engine)->upstream;
     guint64 kept = CacheStore_prefix(request->prefix, upstream->weights);
     for (guint i = 0; i < this->stores->len; i++) {
-        CacheStore_take(g_ptr_array_index(this->stores, i), kept,
-                        Clock_nowMs());
+        CacheStore_receiveSaved(g_ptr_array_index(this->stores, i), kept,
+                                Clock_nowMs());
     }
     if (work->computed &&
         !g_hash_table_add(this->read,
@@ -400,7 +400,7 @@
     request->placed = TRUE;
     request->attempts++;
     Tickets_add(this->tickets, request->ticket, placement, choice);
-    Policy_begin(this->policy, placement, choice);
+    Policy_commit(this->policy, placement, choice);
     ReplayEngine_send(engine_at(this, request->engine)->model,
                       g_memdup2(&work, sizeof(work)));
     wake(this, request->engine);
@@ -432,7 +432,7 @@
     LoadShedInput_t facts = {
         .expected_us = choice->cost_us,
         .own_us = choice->own_us,
-        .spread_us = Forecast_spreadUs(this->forecast, TARGET),
+        .spread_us = EstimateError_spreadUs(this->estimate_error, TARGET),
         .objective_ms = is_on(this, REPLAY_SHED)
                             ? kind_of(this, request)->objective_ms
                             : 0,
@@ -515,8 +515,8 @@
     gint64 waited_us = request->first_us - request->sent_us;
     Tickets_noteFirstToken(this->tickets, request->ticket, this->policy,
                            waited_us, Clock_nowMs());
-    Forecast_noteFirst(this->forecast, TARGET, request->expected_us,
-                       waited_us);
+    EstimateError_noteFirst(this->estimate_error, TARGET, request->expected_us,
+                            waited_us);
 }
 
 /* It is not known at once that an engine says nothing; what it had not begun
@@ -699,7 +699,7 @@
         is_on(this, REPLAY_PREFIX) ? POLICY_HOME : POLICY_LEAST_LOADED);
     this->base = event_base_new();
     this->tickets = Tickets_create(this->base);
-    this->forecast = Forecast_create();
+    this->estimate_error = EstimateError_create();
     add_stores(this);
     for (guint kind = 0; kind < REPLAY_KINDS; kind++) {
         this->firsts[kind] = g_array_new(FALSE, FALSE, sizeof(gint64));
@@ -759,7 +759,7 @@
         g_array_unref(this->firsts[kind]);
     }
     Policy_destroy(this->policy);
-    Forecast_destroy(this->forecast);
+    EstimateError_destroy(this->estimate_error);
     g_ptr_array_unref(this->stores);
     event_base_free(this->base);
     g_rand_free(this->random);
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -174,7 +174,7 @@
     for (guint64 i = 0; i < DECISIONS; i++) {
         Placement_t request = placement(upstreams, i);
         Choice_t choice = Policy_choose(policy, &request);
-        Policy_begin(policy, &request, &choice);
+        Policy_commit(policy, &request, &choice);
         Policy_learn(policy, &request, choice.upstream, 0, 0);
     }
     g_autofree char *what =
--- a/src/CacheStore.c
+++ b/src/CacheStore.c
@@ -4,22 +4,22 @@
 
 #include <xxhash.h>
 
-/* A prefix that nobody used for so long may have given way to others. */
-#define KEPT_MS 20000
-/* Another request may save it if the first one has not ended by then. */
-#define SAVING_MS 3000
-/* Prefixes that are remembered: more than such a store has room for. */
+/* The store may evict a prefix that was not saved again for this long. */
+#define RETENTION_MS 20000
+/* Another request may save a prefix if the first has not done so by then. */
+#define SAVE_TIMEOUT_MS 3000
+/* Prefixes that are tracked: more than the capacity of such a store. */
 #define PREFIXES_MAX 16384
 
 struct CacheStore {
     HintFlood_t *hints;
-    GHashTable *kept;  /* &prefix -> Entry_t */
-    GPtrArray *copies; /* Copy_t, those that are gone behind the others */
-    guint count;       /* of copies that there are, one at least */
+    GHashTable *entries; /* &prefix -> Entry_t */
+    GPtrArray *copies;   /* Copy_t, removed ones last */
+    guint copy_count;    /* copies in use, at least one */
 };
 
-/* One copy is as busy as its own link is: where six of them were taken for
- * one, what was kept counted as out of reach and was computed anew. */
+/* Each copy has its own link. With one link for six copies, moves seemed to
+ * take too long, so that stored prefixes were computed again. */
 typedef struct {
     GString *hall;
     Link_t link;
@@ -27,8 +27,8 @@
 
 typedef struct {
     guint64 prefix;
-    gint64 kept_ms;   /* when it was saved, 0 for not yet */
-    gint64 saving_ms; /* when this router last began to save it */
+    gint64 stored_ms; /* when it was saved, 0 for not yet */
+    gint64 saving_ms; /* when this router last began to save it, 0 for never */
 } Entry_t;
 
 static void
@@ -52,33 +52,33 @@
 {
     CacheStore_t *this = g_new0(CacheStore_t, 1);
     this->hints = hints;
-    this->kept =
+    this->entries =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     this->copies = g_ptr_array_new_with_free_func(free_copy);
     add_copy(this, "");
-    this->count = 1;
+    this->copy_count = 1;
     return this;
 }
 
 void
 CacheStore_destroy(CacheStore_t *this)
 {
-    g_hash_table_destroy(this->kept);
+    g_hash_table_destroy(this->entries);
     g_ptr_array_unref(this->copies);
     g_free(this);
 }
 
 static Entry_t *
-entry_of(CacheStore_t *this, guint64 prefix)
+find_or_create_entry(CacheStore_t *this, guint64 prefix)
 {
-    Entry_t *entry = g_hash_table_lookup(this->kept, &prefix);
+    Entry_t *entry = g_hash_table_lookup(this->entries, &prefix);
     if (!entry) {
-        if (g_hash_table_size(this->kept) >= PREFIXES_MAX) {
-            g_hash_table_remove_all(this->kept);
+        if (g_hash_table_size(this->entries) >= PREFIXES_MAX) {
+            g_hash_table_remove_all(this->entries);
         }
         entry = g_new0(Entry_t, 1);
         entry->prefix = prefix;
-        g_hash_table_insert(this->kept, &entry->prefix, entry);
+        g_hash_table_insert(this->entries, &entry->prefix, entry);
     }
     return entry;
 }
@@ -90,20 +90,21 @@
 }
 
 gboolean
-CacheStore_isKept(const CacheStore_t *this, guint64 prefix, gint64 now_ms)
+CacheStore_contains(const CacheStore_t *this, guint64 prefix, gint64 now_ms)
 {
-    const Entry_t *entry = g_hash_table_lookup(this->kept, &prefix);
-    return entry && entry->kept_ms != 0 && now_ms - entry->kept_ms < KEPT_MS;
+    const Entry_t *entry = g_hash_table_lookup(this->entries, &prefix);
+    return entry && entry->stored_ms != 0 &&
+           now_ms - entry->stored_ms < RETENTION_MS;
 }
 
 gboolean
 CacheStore_beginSave(CacheStore_t *this, guint64 prefix, gint64 now_ms)
 {
-    if (CacheStore_isKept(this, prefix, now_ms)) {
+    if (CacheStore_contains(this, prefix, now_ms)) {
         return FALSE;
     }
-    Entry_t *entry = entry_of(this, prefix);
-    if (entry->saving_ms != 0 && now_ms - entry->saving_ms < SAVING_MS) {
+    Entry_t *entry = find_or_create_entry(this, prefix);
+    if (entry->saving_ms != 0 && now_ms - entry->saving_ms < SAVE_TIMEOUT_MS) {
         return FALSE;
     }
     entry->saving_ms = now_ms;
@@ -114,20 +115,20 @@
 CacheStore_noteSaved(CacheStore_t *this, guint64 prefix, gint64 now_ms)
 {
     Hint_t hint = {.kind = HINT_SAVED, .subject = prefix};
-    entry_of(this, prefix)->kept_ms = now_ms;
+    find_or_create_entry(this, prefix)->stored_ms = now_ms;
     HintFlood_broadcast(this->hints, &hint);
 }
 
 gboolean
-CacheStore_take(CacheStore_t *this, guint64 prefix, gint64 now_ms)
+CacheStore_receiveSaved(CacheStore_t *this, guint64 prefix, gint64 now_ms)
 {
-    gboolean news = !CacheStore_isKept(this, prefix, now_ms);
-    entry_of(this, prefix)->kept_ms = now_ms;
-    return news;
+    gboolean is_new = !CacheStore_contains(this, prefix, now_ms);
+    find_or_create_entry(this, prefix)->stored_ms = now_ms;
+    return is_new;
 }
 
-/* Requests under way go on with the link that they began with, so that none
- * is freed. */
+/* Requests under way continue to use the link that they began with, so that
+ * removed copies are not freed. */
 void
 CacheStore_setCopies(CacheStore_t *this, const GPtrArray *halls)
 {
@@ -138,11 +139,11 @@
         Copy_t *copy = g_ptr_array_index(this->copies, i);
         g_string_assign(copy->hall, g_ptr_array_index(halls, i));
     }
-    this->count = MAX(halls->len, 1);
+    this->copy_count = MAX(halls->len, 1);
 }
 
 guint
-CacheStore_copy(guint64 prefix, guint copies)
+CacheStore_copyIndex(guint64 prefix, guint copies)
 {
     return (guint)(prefix % copies);
 }
@@ -151,7 +152,7 @@
 copy_of(const CacheStore_t *this, guint64 prefix)
 {
     return g_ptr_array_index(this->copies,
-                             CacheStore_copy(prefix, this->count));
+                             CacheStore_copyIndex(prefix, this->copy_count));
 }
 
 const char *
@@ -167,10 +168,10 @@
 }
 
 gint64
-CacheStore_ownUs(const CacheStore_t *this, gint64 now_us)
+CacheStore_localUs(const CacheStore_t *this, gint64 now_us)
 {
     gint64 sum_us = 0;
-    for (guint i = 0; i < this->count; i++) {
+    for (guint i = 0; i < this->copy_count; i++) {
         const Copy_t *copy = g_ptr_array_index(this->copies, i);
         sum_us += Link_ownUs(&copy->link, now_us);
     }
@@ -180,8 +181,8 @@
 void
 CacheStore_setOthersUs(CacheStore_t *this, gint64 others_us)
 {
-    for (guint i = 0; i < this->count; i++) {
+    for (guint i = 0; i < this->copy_count; i++) {
         Copy_t *copy = g_ptr_array_index(this->copies, i);
-        copy->link.others_us = others_us / this->count;
+        copy->link.others_us = others_us / this->copy_count;
     }
 }
--- a/src/CacheStore.h
+++ b/src/CacheStore.h
@@ -3,11 +3,11 @@
 /**
  * DOC: CacheStore
  *
- * What is kept in the store of cached prefixes beside the engines, as far as
- * the routers know: engines are told to save a shared prefix there when it
- * is not known to be kept, and to take it from there when it is. Routers tell
- * each other what was saved; nothing rests on it but time, as an engine
- * computes what it does not find.
+ * Tracks which prefixes the store of cached prefixes beside the engines should
+ * hold. A request asks its engine to save a shared prefix to the store if the
+ * store is not known to hold the prefix, and to fetch it from there otherwise.
+ * Routers send each other hints of what was saved. A wrong entry costs only
+ * time: an engine computes what it does not find.
  */
 #include <glib.h>
 
@@ -18,8 +18,8 @@
 typedef struct CacheStore CacheStore_t;
 
 /**
- * CacheStore_create() - nothing is known to be kept
- * @hints: through which routers tell each other; must outlive it
+ * CacheStore_create() - a store that is not known to hold any prefix
+ * @hints: sends what was saved to the other routers; must outlive it
  */
 CacheStore_t *CacheStore_create(HintFlood_t *hints);
 
@@ -28,61 +28,63 @@
 
 /**
  * CacheStore_prefix() - identity of a prefix under a version of weights
- * @level: identity of the prefix, with its wall
+ * @level: salted identity of the prefix
  */
 guint64 CacheStore_prefix(guint64 level, const GString *weights);
 
 /**
- * CacheStore_isKept() - whether a prefix should be in the store
- * @prefix: identity that holds the wall and the weights as well
+ * CacheStore_contains() - whether a prefix should be in the store
+ * @prefix: identity by CacheStore_prefix()
  */
-gboolean CacheStore_isKept(const CacheStore_t *this, guint64 prefix,
-                           gint64 now_ms);
+gboolean CacheStore_contains(const CacheStore_t *this, guint64 prefix,
+                             gint64 now_ms);
 
 /**
  * CacheStore_beginSave() - whether this request should save a prefix
  *
- * Return: FALSE where it is kept or another request of this router saves it
+ * Return: FALSE where the prefix is stored or another request of this router
+ * is saving it
  */
 gboolean CacheStore_beginSave(CacheStore_t *this, guint64 prefix,
                               gint64 now_ms);
 
-/** CacheStore_noteSaved() - a request that saves a prefix has its first event,
- * so that the prefix is in the store */
+/** CacheStore_noteSaved() - a request that saves a prefix got its first event:
+ * the prefix is in the store now */
 void CacheStore_noteSaved(CacheStore_t *this, guint64 prefix, gint64 now_ms);
 
 /**
- * CacheStore_take() - a peer tells that a prefix was saved
+ * CacheStore_receiveSaved() - a peer reports that a prefix was saved
  *
- * Return: whether that is news
+ * Return: TRUE where the prefix was not known to be stored
  */
-gboolean CacheStore_take(CacheStore_t *this, guint64 prefix, gint64 now_ms);
+gboolean CacheStore_receiveSaved(CacheStore_t *this, guint64 prefix,
+                                 gint64 now_ms);
 
 /**
- * CacheStore_setCopies() - where its copies stand
- * @halls: of each of them, const char *, in their order; one of no known hall
- *     is assumed where there are none
+ * CacheStore_setCopies() - set the number and halls of the store's copies
+ * @halls: hall of each copy, const char *, in the order of the copies; where
+ *     empty, one copy in an unknown hall is assumed
  *
- * Each prefix is kept by one of them.
+ * Each prefix is stored by one copy.
  */
 void CacheStore_setCopies(CacheStore_t *this, const GPtrArray *halls);
 
-/** CacheStore_copy() - number of the copy that keeps a prefix, of so many */
-guint CacheStore_copy(guint64 prefix, guint copies);
+/** CacheStore_copyIndex() - index of the copy that stores a prefix, out of
+ * @copies */
+guint CacheStore_copyIndex(guint64 prefix, guint copies);
 
-/** CacheStore_hall() - of the copy that keeps a prefix */
+/** CacheStore_hall() - hall of the copy that stores a prefix */
 const char *CacheStore_hall(const CacheStore_t *this, guint64 prefix);
 
-/** CacheStore_link() - over which a prefix comes from its copy and goes there
- */
+/** CacheStore_link() - link of the copy that stores a prefix */
 Link_t *CacheStore_link(CacheStore_t *this, guint64 prefix);
 
-/** CacheStore_ownUs() - what this router's moves still take on the links of
- * all copies */
-gint64 CacheStore_ownUs(const CacheStore_t *this, gint64 now_us);
+/** CacheStore_localUs() - remaining time of this router's moves, summed over
+ * the links of all copies */
+gint64 CacheStore_localUs(const CacheStore_t *this, gint64 now_us);
 
-/** CacheStore_setOthersUs() - the same of the other routers; which copies
- * they take from is not told */
+/** CacheStore_setOthersUs() - set the remaining time of the other routers'
+ * moves; it is split evenly, as they do not report it by copy */
 void CacheStore_setOthersUs(CacheStore_t *this, gint64 others_us);
 
 #endif
--- a/src/Context.h
+++ b/src/Context.h
@@ -17,7 +17,7 @@
 #include "CrashGuard.h"
 #include "CustomerLimits.h"
 #include "Dispatch.h"
-#include "Forecast.h"
+#include "EstimateError.h"
 #include "Membership.h"
 #include "NamedWeights.h"
 #include "PauseGuard.h"
@@ -89,7 +89,7 @@
     GHashTable *speeds;
     PauseGuard_t *pauses;
     RunTimes_t *run_times;
-    Forecast_t *forecast;
+    EstimateError_t *estimate_error;
     struct LoadShare *load_share;
     StreamMover_t *mover;
     Dispatch_t *dispatch;
--- a/src/CrashEvidence.h
+++ b/src/CrashEvidence.h
@@ -23,7 +23,7 @@
 /**
  * struct CrashLoss_t - an attempt that broke off
  * @digest: of the request
- * @owner: its customer; see RequestDigest_owner()
+ * @owner: its customer; see RequestDigest_hashCustomer()
  * @request: its id
  * @upstream: of the attempt
  * @incarnation: of the upstream
--- a/src/CrashSubject.c
+++ b/src/CrashSubject.c
@@ -38,7 +38,7 @@
     };
     if (!this->is_hashed) {
         this->digest = RequestDigest_make(&identity, key);
-        this->owner = RequestDigest_owner(this->customer->str, key);
+        this->owner = RequestDigest_hashCustomer(this->customer->str, key);
         this->is_hashed = TRUE;
     }
 }
--- a/src/CrashSubject.h
+++ b/src/CrashSubject.h
@@ -24,7 +24,7 @@
  * @key: the same at each call */
 const RequestDigest_t *CrashSubject_digest(CrashSubject_t *this, GBytes *key);
 
-/** CrashSubject_owner() - its customer; see RequestDigest_owner() */
+/** CrashSubject_owner() - its customer; see RequestDigest_hashCustomer() */
 guint64 CrashSubject_owner(CrashSubject_t *this, GBytes *key);
 
 #endif
--- a/src/CrashTable.h
+++ b/src/CrashTable.h
@@ -44,7 +44,7 @@
 /**
  * struct CrashFact_t - an upstream ended under a request
  * @digest: of the request
- * @owner: its customer; see RequestDigest_owner()
+ * @owner: its customer; see RequestDigest_hashCustomer()
  * @crash: identity of the upstream's incarnation that ended
  * @at_ms: when, monotonic
  */
--- a/src/Dispatch.c
+++ b/src/Dispatch.c
@@ -107,7 +107,7 @@
         .avoid = UpstreamSet_findHash(this->spec.upstreams, query->avoid),
         .run_us = query->run_us,
         .latest_us = query->latest_us,
-        .ignores_rests = TRUE,
+        .ignores_backoffs = TRUE,
         .now_ms = Clock_nowMs(),
     };
     return placement;
@@ -128,7 +128,7 @@
     Choice_t choice = Policy_choose(this->spec.policy, &placement);
     if (choice.upstream) {
         Tickets_add(this->tickets, query->ticket, &placement, &choice);
-        Policy_begin(this->spec.policy, &placement, &choice);
+        Policy_commit(this->spec.policy, &placement, &choice);
     }
     Counters_add(this->spec.counters, "places_answered_total", NULL, 1);
     send_answer(this, query->ticket, &choice, from);
--- a/src/EngineMemory.h
+++ b/src/EngineMemory.h
@@ -3,63 +3,64 @@
 /**
  * DOC: EngineMemory
  *
- * How far an engine's memory has turned over since a prefix was last used
- * there. An engine keeps what was used last, so that a prefix has given way
- * once more tokens have been brought in than there is room for beside the
- * requests that run.
+ * Estimates whether an engine's cache still holds a prefix. An engine evicts
+ * what was used longest ago, so that a prefix is gone once more tokens have
+ * been inserted since its last use than the cache can hold beside the running
+ * requests.
  */
 #include <glib.h>
 
 /**
- * struct EngineMemory_t - of one engine, as far as routers have told
- * @epoch: grows each time that all is dropped
- * @taken: tokens brought in so far
- * @untold: of these, tokens of this router's requests that peers have not
- *     been told of
- * @prompt_tokens: mean length of the prompts that it was sent
+ * struct EngineMemory_t - cache of one engine, by the reports of all routers
+ * @epoch: incremented each time that the engine drops its whole cache
+ * @inserted_tokens: tokens inserted so far
+ * @unsent_tokens: tokens inserted by this router's requests that were not yet
+ *     sent to the peers
+ * @prompt_tokens: mean length of the prompts that this router sent there
  */
 typedef struct {
     guint epoch;
-    guint64 taken;
-    guint untold;
+    guint64 inserted_tokens;
+    guint unsent_tokens;
     double prompt_tokens;
 } EngineMemory_t;
 
 /**
- * struct MemoryMark_t - when a prefix was used, in terms of what was brought
- * in
- * @epoch: of the memory
- * @taken: of the memory
+ * struct MemoryMark_t - state of an engine's cache when a prefix was used
+ * @epoch: epoch of the cache
+ * @inserted_tokens: tokens inserted by then
  */
 typedef struct {
     guint epoch;
-    guint64 taken;
+    guint64 inserted_tokens;
 } MemoryMark_t;
 
-/** EngineMemory_clear() - it has dropped all, as for other weights */
+/** EngineMemory_clear() - the engine has dropped its cache, as when it loads
+ * other weights */
 void EngineMemory_clear(EngineMemory_t *this);
 
 /**
- * EngineMemory_take() - a request of this router was sent there
- * @prompt_tokens: of its prompt
- * @new_tokens: of these, that are not there yet
+ * EngineMemory_noteSent() - this router sent a request to the engine
+ * @prompt_tokens: length of the prompt
+ * @new_tokens: tokens of the prompt that are not in the cache yet
  */
-void EngineMemory_take(EngineMemory_t *this, guint prompt_tokens,
-                       guint new_tokens);
+void EngineMemory_noteSent(EngineMemory_t *this, guint prompt_tokens,
+                           guint new_tokens);
 
-/** EngineMemory_takeTold() - the same as a peer has told it */
-void EngineMemory_takeTold(EngineMemory_t *this, guint new_tokens);
+/** EngineMemory_notePeerTokens() - a peer reported tokens that its requests
+ * inserted */
+void EngineMemory_notePeerTokens(EngineMemory_t *this, guint new_tokens);
 
-/** EngineMemory_mark() - now */
+/** EngineMemory_mark() - the present state, to be kept with a prefix */
 MemoryMark_t EngineMemory_mark(const EngineMemory_t *this);
 
 /**
- * EngineMemory_keeps() - whether what was used at @mark is still there
- * @room: tokens that it holds
- * @running: requests under way there
+ * EngineMemory_retains() - whether a prefix used at @mark is still cached
+ * @capacity_tokens: tokens that the cache can hold
+ * @running: requests under way on the engine
  */
-gboolean EngineMemory_keeps(const EngineMemory_t *this,
-                            const MemoryMark_t *mark, guint room,
-                            guint running);
+gboolean EngineMemory_retains(const EngineMemory_t *this,
+                              const MemoryMark_t *mark, guint capacity_tokens,
+                              guint running);
 
 #endif
--- a/src/EngineQueue.c
+++ b/src/EngineQueue.c
@@ -1,11 +1,11 @@
 #include "EngineQueue.h"
 
 gint64
-EngineQueue_waitUs(const EngineQueueFacts_t *facts)
+EngineQueue_waitUs(const EngineQueueInput_t *input)
 {
-    if (facts->slots == 0 || facts->requests < facts->slots) {
+    if (input->slots == 0 || input->requests < input->slots) {
         return 0;
     }
-    guint before = facts->requests - facts->slots + 1;
-    return (gint64)(before * facts->run_us / facts->slots);
+    guint ends_needed = input->requests - input->slots + 1;
+    return (gint64)(ends_needed * input->run_us / input->slots);
 }
--- a/src/EngineQueue.h
+++ b/src/EngineQueue.h
@@ -3,35 +3,35 @@
 /**
  * DOC: EngineQueue
  *
- * How long a request waits until an engine takes it into its batch. Load
- * pattern: a quarter of the engines is gone, and those that are left run as
- * many requests as they have slots. What is waiting there has few tokens to
- * read, so that an estimate by tokens finds such an engine hardly busier than
- * an idle one, and first tokens show it only after they have been late
- * (engines of one fleet and second with a median first token of 43 ms and of
- * 3.7 s side by side, by request_done lines).
+ * Estimates how long a request waits until an engine takes it into its batch.
  *
- * A slot is free when a request ends: with all of them taken that is, on the
- * mean, once in the time that one request runs, divided by the slots. No
- * limit of its own; the time that a request runs is learned from those that
- * have ended.
+ * It is meant for engines that run as many requests as they have slots, as
+ * after the loss of a quarter of the engines. The requests that wait there
+ * have few tokens to compute, so that an estimate by tokens hardly tells such
+ * an engine from an idle one, and first tokens reveal the queue only once they
+ * are late: engines of one fleet had median first tokens of 43 ms and of 3.7 s
+ * in the same second.
+ *
+ * With all slots taken, a slot becomes free on average once in the time that
+ * one request runs, divided by the number of slots. The run time is learned
+ * from requests that have ended. The estimate has no upper limit.
  */
 #include <glib.h>
 
 /**
- * struct EngineQueueFacts_t - what the estimate rests on
- * @slots: requests that run at once, 0 for unknown
- * @requests: that run or wait there
- * @run_us: how long a request takes from its first token to its end, on the
- *     mean; 0 where none has ended yet
+ * struct EngineQueueInput_t - input of the estimate
+ * @slots: requests that the engine runs at once, 0 for unknown
+ * @requests: requests that run or wait on the engine
+ * @run_us: mean time from a request's first token to its end; 0 where no
+ *     request has ended yet
  */
 typedef struct {
     guint slots;
     guint requests;
     double run_us;
-} EngineQueueFacts_t;
+} EngineQueueInput_t;
 
-/** EngineQueue_waitUs() - until one more request is taken, in us */
-gint64 EngineQueue_waitUs(const EngineQueueFacts_t *facts);
+/** EngineQueue_waitUs() - time until one more request gets a slot */
+gint64 EngineQueue_waitUs(const EngineQueueInput_t *input);
 
 #endif
--- a/src/EngineSpeed.c
+++ b/src/EngineSpeed.c
@@ -2,20 +2,22 @@
 
 #include <math.h>
 
-/* Below, the time is that of the way and of the step that runs. */
+/* For shorter prompts the network and the engine's current step make up most
+ * of the delay. */
 #define TOKENS_MIN 500
-/* One in five first tokens comes quicker than what is followed. */
+/* Quantile of the delays that is followed: one in five is shorter. */
 #define QUANTILE 0.2
-/* Each observation moves the estimate by about so large a share of it, at the
- * start and in the end: within 2 of 100 after some thirty. */
+/* Relative step of the estimate for each observation. It shrinks from the
+ * first value to the last one and halves after STEP_HALVES_AFTER observations;
+ * the estimate is within 2 % after about thirty. */
 #define FIRST_STEP 0.5
 #define LAST_STEP 0.04
 #define STEP_HALVES_AFTER 6.0
-/* A smaller change is not worth the look at all engines. */
-#define CHANGE_LEAST 0.02
-/* What an observation can be, in us a token; others are errors. */
-#define LEAST_US 1.0
-#define MOST_US 10000.0
+/* A smaller relative change does not justify an update of all engines. */
+#define CHANGE_MIN 0.02
+/* Range of a plausible observation; others are clamped to it. */
+#define US_PER_TOKEN_MIN 1.0
+#define US_PER_TOKEN_MAX 10000.0
 
 void
 EngineSpeed_init(EngineSpeed_t *this, double us_per_token)
@@ -24,9 +26,9 @@
 }
 
 static double
-step_of(const EngineSpeed_t *this)
+current_step(const EngineSpeed_t *this)
 {
-    double step = FIRST_STEP / (1 + this->seen / STEP_HALVES_AFTER);
+    double step = FIRST_STEP / (1 + this->samples / STEP_HALVES_AFTER);
     return MAX(step, LAST_STEP);
 }
 
@@ -36,20 +38,22 @@
     if (tokens < TOKENS_MIN) {
         return;
     }
-    double seen_us = CLAMP((double)waited_us / tokens, LEAST_US, MOST_US);
-    double step = step_of(this);
-    double share = seen_us < this->us_per_token ? QUANTILE - 1 : QUANTILE;
-    this->us_per_token *= 1 + step * share;
-    this->seen++;
+    double observed_us =
+        CLAMP((double)waited_us / tokens, US_PER_TOKEN_MIN, US_PER_TOKEN_MAX);
+    double step = current_step(this);
+    double direction =
+        observed_us < this->us_per_token ? QUANTILE - 1 : QUANTILE;
+    this->us_per_token *= 1 + step * direction;
+    this->samples++;
 }
 
 gboolean
-EngineSpeed_hasChanged(EngineSpeed_t *this)
+EngineSpeed_consumeChange(EngineSpeed_t *this)
 {
-    if (fabs(this->us_per_token - this->told_us) <
-        CHANGE_LEAST * this->told_us) {
+    if (fabs(this->us_per_token - this->published_us_per_token) <
+        CHANGE_MIN * this->published_us_per_token) {
         return FALSE;
     }
-    this->told_us = this->us_per_token;
+    this->published_us_per_token = this->us_per_token;
     return TRUE;
 }
--- a/src/ExchangeCapacity.c
+++ b/src/ExchangeCapacity.c
@@ -16,13 +16,13 @@
 #define BACKOFF_RETRY_JITTER_MS 1000
 #define BACKOFF_RETRY_AFTER_MAX_MS 10000
 
-PlacementTerms_t
+PlacementConstraints_t
 ExchangeCapacity_terms(const Exchange_t *this)
 {
-    return (PlacementTerms_t){
+    return (PlacementConstraints_t){
         .avoid = this->avoid,
         .permitted = UpstreamGate_permitted(&this->upstream_gate),
-        .spares_limited =
+        .excludes_limited =
             this->upstream_gate.refusals >= UPSTREAM_GATE_REFUSALS_MAX,
     };
 }
@@ -96,14 +96,14 @@
 
 /* The caller has begun to read the answer, and a refusal would truncate it. */
 static void
-wait_for_capacity(Exchange_t *this, const LimitedRoom_t *limited)
+wait_for_capacity(Exchange_t *this, const LimitedCapacity_t *limited)
 {
     this->upstream_gate.refusals = 0;
     Clock_arm(this->next_timer, MAX(limited->full_ms, CAPACITY_RETRY_MIN_MS));
 }
 
 static void
-refuse_limited(Exchange_t *this, const LimitedRoom_t *limited)
+refuse_limited(Exchange_t *this, const LimitedCapacity_t *limited)
 {
     if (Exchange_runState(this) == RUN_DONE) {
         wait_for_capacity(this, limited);
@@ -119,7 +119,7 @@
 }
 
 static void
-refuse_backing_off(Exchange_t *this, const RestingUpstreams_t *backing_off)
+refuse_backing_off(Exchange_t *this, const BackedOffUpstreams_t *backing_off)
 {
     if (Exchange_runState(this) == RUN_DONE) {
         Clock_arm(this->next_timer,
@@ -153,8 +153,8 @@
 void
 ExchangeCapacity_refuse(Exchange_t *this, const Placement_t *placement)
 {
-    LimitedRoom_t limited = Policy_findLimited(placement);
-    RestingUpstreams_t backing_off = Policy_findResting(placement);
+    LimitedCapacity_t limited = Policy_findLimited(placement);
+    BackedOffUpstreams_t backing_off = Policy_findBackedOff(placement);
     if (limited.count > 0) {
         refuse_limited(this, &limited);
     }
--- a/src/ExchangeCapacity.h
+++ b/src/ExchangeCapacity.h
@@ -11,7 +11,7 @@
 #include "Exchange.h"
 
 /** ExchangeCapacity_terms() - restrictions on the choice of an upstream */
-PlacementTerms_t ExchangeCapacity_terms(const Exchange_t *this);
+PlacementConstraints_t ExchangeCapacity_terms(const Exchange_t *this);
 
 /**
  * ExchangeCapacity_acquire() - whether an attempt may go to an upstream now
--- a/src/HomePolicy.c
+++ b/src/HomePolicy.c
@@ -8,35 +8,36 @@
 #include "Residency.h"
 #include "Ring.h"
 
-/* Engines of the ring that are weighed, the home first. */
-#define CANDIDATES 4
-/* Engines of a group that are weighed: more than most groups have. */
-#define GROUP_CANDIDATES 24
-/* Points of the ring that are passed until enough are found that may be used.
- */
+/* Candidates that the ring yields, the home first. */
+#define RING_CANDIDATES 4
+/* Candidates in all; more than the size of most groups. */
+#define CANDIDATES_MAX 24
+/* Points of the ring that are visited to find usable engines. */
 #define RING_POINTS_MAX 256
-/* How much later a first token may come at the home before the request goes
- * to the next engine: about the time to take a long prefix along. 10 and
- * 40 ms did worse (docs/MEASUREMENTS.md). */
+/* Penalty of any engine but the home: about the time to transfer a long
+ * prefix. 10 and 40 ms gave worse results (docs/MEASUREMENTS.md). */
 #define SPILL_COST_US 20000
-/* An engine that is for prompts of the other kind, where long ones hold up the
- * streams of short ones: a stream that pauses is as late as one that begins
- * late. 100 ms left 179 of 425 streams with too long a pause, 300 ms 94 of 433
- * (engines of 0.73 of the usual speed, a quiet day of 34 s). */
-#define OTHER_KIND_COST_US 300000
-/* An engine that has not got the newest weights, once they have been named
- * for longer than answers on the old ones count in full. */
+/* Penalty of an engine reserved for prompts of the other length. Prefills of
+ * long prompts stall the streams of short ones, and a stream that stalls is as
+ * late as one that begins late. With 100 ms, 179 of 425 streams stalled for
+ * too long, with 300 ms 94 of 433 (34 s of low load, engines at 0.73 of the
+ * usual speed). */
+#define OTHER_LENGTH_COST_US 300000
+/* Penalty of an engine without the newest weights. It applies once these have
+ * been named for longer than OLD_WEIGHTS_GRACE_MS: until then answers on the
+ * old weights keep their full value. */
 #define OLD_WEIGHTS_COST_US 150000
-/* A load waits for the runs of its engine. What ends in this time holds it up
- * no longer than the pause before it; the rest of a longer run counts against
- * an engine that is about to load. */
-#define SOON_SPARE_US 300000
+/* An engine that loads new weights first waits for its requests to end. A
+ * request that ends within this time does not delay the load beyond the pause
+ * that precedes it; the remainder of a longer one is a penalty of an engine
+ * that is about to load. */
+#define RUN_BEFORE_LOAD_US 300000
 #define OLD_WEIGHTS_GRACE_MS 1000
-/* An engine that is expected to begin too late: more than all else that may
- * speak against one that begins in time. */
+/* Penalty of an engine whose first token is expected too late: outweighs all
+ * penalties of an engine that is in time. */
 #define LATE_COST_US 1000000
-/* What each running request adds to the time of a step, over the steps that
- * a first token takes. */
+/* Delay of a first token by each running request: the time that the request
+ * adds to a step of the engine, over the steps until the first token. */
 #define RUNNING_COST_US 1000
 
 typedef struct {
@@ -49,19 +50,19 @@
 /* The engines that serve one target. */
 typedef struct {
     Ring_t *ring;
-    GHashTable *by_hash; /* of the name -> Upstream_t, which is not owned */
+    GHashTable *by_hash; /* &hash of the name -> Upstream_t, not owned */
 } Target_t;
 
-/* The engines that are weighed for one request. */
+/* The candidates of one request. */
 typedef struct {
     HomePolicy_t *policy;
     const Placement_t *placement;
-    Upstream_t *list[GROUP_CANDIDATES]; /* the home first */
+    Upstream_t *list[CANDIDATES_MAX]; /* the home first */
     guint count;
     PrefixHolders_t holders;
-    guint most;          /* to take from the ring */
-    guint64 short_below; /* engines of a lower hash are for short prompts */
-} Walk_t;
+    guint ring_max;           /* engines to take from the ring */
+    guint64 short_hash_limit; /* engines of a lower hash serve short prompts */
+} CandidateSet_t;
 
 static void
 free_target(gpointer data)
@@ -109,10 +110,10 @@
     return (left > right) - (left < right);
 }
 
-/* Of the engines that may be used, those with the lowest hashes: the same on
- * all routers that see the same engines. */
+/* The share of the usable engines with the lowest hashes serves short prompts:
+ * routers that see the same engines agree on them. */
 static guint64
-find_short_below(const Placement_t *placement)
+find_short_hash_limit(const Placement_t *placement)
 {
     if (placement->short_share <= 0) {
         return 0;
@@ -126,22 +127,23 @@
     }
     g_array_sort(hashes, compare_hashes);
     guint count = (guint)(hashes->len * placement->short_share + 0.5);
-    guint most = hashes->len > 0 ? hashes->len - 1 : 0;
-    return most > 0 ? g_array_index(hashes, guint64, CLAMP(count, 1, most))
-                    : 0;
+    guint count_max = hashes->len > 0 ? hashes->len - 1 : 0;
+    return count_max > 0
+               ? g_array_index(hashes, guint64, CLAMP(count, 1, count_max))
+               : 0;
 }
 
 static gboolean
-is_for_short(const Walk_t *walk, const Upstream_t *upstream)
+serves_short(const CandidateSet_t *candidates, const Upstream_t *upstream)
 {
-    return upstream->hash < walk->short_below;
+    return upstream->hash < candidates->short_hash_limit;
 }
 
 static gboolean
-is_listed(const Walk_t *walk, const Upstream_t *upstream)
+is_listed(const CandidateSet_t *candidates, const Upstream_t *upstream)
 {
-    for (guint i = 0; i < walk->count; i++) {
-        if (walk->list[i] == upstream) {
+    for (guint i = 0; i < candidates->count; i++) {
+        if (candidates->list[i] == upstream) {
             return TRUE;
         }
     }
@@ -149,16 +151,16 @@
 }
 
 static gboolean
-on_ring(Upstream_t *upstream, void *data)
+visit_ring_engine(Upstream_t *upstream, void *data)
 {
-    Walk_t *walk = data;
-    if (is_listed(walk, upstream)) {
+    CandidateSet_t *candidates = data;
+    if (is_listed(candidates, upstream)) {
         return TRUE;
     }
-    if (Policy_mayUse(walk->placement, upstream)) {
-        walk->list[walk->count++] = upstream;
+    if (Policy_mayUse(candidates->placement, upstream)) {
+        candidates->list[candidates->count++] = upstream;
     }
-    return walk->count < walk->most;
+    return candidates->count < candidates->ring_max;
 }
 
 static guint
@@ -168,128 +170,139 @@
                                  : 0;
 }
 
-/* The place of an engine in a prefix's order: the same on all routers, and
- * another one for each prefix. */
+/* Rendezvous hash of a prefix and an engine: orders the engines of a group the
+ * same way on all routers, and differently for each prefix. */
 static guint64
-weight_of(const Placement_t *placement, const Upstream_t *upstream)
+rendezvous_hash(const Placement_t *placement, const Upstream_t *upstream)
 {
     guint64 pair[] = {PrefixSupply_key(placement), upstream->hash};
     return XXH3_64bits(pair, sizeof(pair));
 }
 
 static gboolean
-is_other_of_group(const Walk_t *walk, const Upstream_t *upstream)
+is_other_group_member(const CandidateSet_t *candidates,
+                      const Upstream_t *upstream)
 {
-    const Placement_t *placement = walk->placement;
+    const Placement_t *placement = candidates->placement;
     return group_of(placement, upstream) ==
-               group_of(placement, walk->list[0]) &&
-           !is_listed(walk, upstream) && Policy_mayUse(placement, upstream);
+               group_of(placement, candidates->list[0]) &&
+           !is_listed(candidates, upstream) &&
+           Policy_mayUse(placement, upstream);
 }
 
-/* An engine of the home's group and its place. */
+/* An engine of the home's group and its rank, the highest hash first. */
 typedef struct {
     Upstream_t *upstream;
-    guint64 weight;
-} Ranked_t;
+    guint64 hash;
+} RankedEngine_t;
 
 static gint
-compare_weights(gconstpointer a, gconstpointer b)
+compare_ranks(gconstpointer a, gconstpointer b)
 {
-    guint64 left = ((const Ranked_t *)a)->weight;
-    guint64 right = ((const Ranked_t *)b)->weight;
+    guint64 left = ((const RankedEngine_t *)a)->hash;
+    guint64 right = ((const RankedEngine_t *)b)->hash;
     return (left < right) - (left > right);
 }
 
-/* The others of the home's group, which one router places: for a prefix that
- * is worth a move as few as on the ring, or it would lie everywhere. */
+/* Adds the other engines of the home's group, whose requests are all placed by
+ * one router. A prefix that is worth a transfer gets only as many candidates
+ * as on the ring, as otherwise all engines of the group would cache it. */
 static void
-add_group(Walk_t *walk)
+add_group_members(CandidateSet_t *candidates)
 {
-    const GPtrArray *serving = walk->placement->serving;
-    guint most =
-        PrefixSupply_isShort(walk->placement) ? GROUP_CANDIDATES : CANDIDATES;
-    g_autoptr(GArray) others = g_array_new(FALSE, FALSE, sizeof(Ranked_t));
+    const GPtrArray *serving = candidates->placement->serving;
+    guint candidates_max = PrefixSupply_isShort(candidates->placement)
+                               ? CANDIDATES_MAX
+                               : RING_CANDIDATES;
+    g_autoptr(GArray) others =
+        g_array_new(FALSE, FALSE, sizeof(RankedEngine_t));
     for (guint i = 0; i < serving->len; i++) {
         Upstream_t *upstream = g_ptr_array_index(serving, i);
-        if (is_other_of_group(walk, upstream)) {
-            Ranked_t ranked = {upstream, weight_of(walk->placement, upstream)};
+        if (is_other_group_member(candidates, upstream)) {
+            RankedEngine_t ranked = {
+                upstream, rendezvous_hash(candidates->placement, upstream)};
             g_array_append_val(others, ranked);
         }
     }
-    g_array_sort(others, compare_weights);
-    for (guint i = 0; i < others->len && walk->count < most; i++) {
-        walk->list[walk->count++] =
-            g_array_index(others, Ranked_t, i).upstream;
+    g_array_sort(others, compare_ranks);
+    for (guint i = 0; i < others->len && candidates->count < candidates_max;
+         i++) {
+        candidates->list[candidates->count++] =
+            g_array_index(others, RankedEngine_t, i).upstream;
     }
 }
 
 static void
-add_for_short(Walk_t *walk)
+add_engines_for_short(CandidateSet_t *candidates)
 {
-    const GPtrArray *serving = walk->placement->serving;
-    for (guint i = 0; i < serving->len && walk->count < GROUP_CANDIDATES;
+    const GPtrArray *serving = candidates->placement->serving;
+    for (guint i = 0; i < serving->len && candidates->count < CANDIDATES_MAX;
          i++) {
         Upstream_t *upstream = g_ptr_array_index(serving, i);
-        if (is_for_short(walk, upstream) && !is_listed(walk, upstream) &&
-            Policy_mayUse(walk->placement, upstream)) {
-            walk->list[walk->count++] = upstream;
+        if (serves_short(candidates, upstream) &&
+            !is_listed(candidates, upstream) &&
+            Policy_mayUse(candidates->placement, upstream)) {
+            candidates->list[candidates->count++] = upstream;
         }
     }
 }
 
-/* Those that hold the prefix, as a request needs no move there. */
+/* Adds the engines that hold the prefix: a request needs no transfer there. */
 static void
-add_holders(Walk_t *walk)
+add_holders(CandidateSet_t *candidates)
 {
     for (guint i = 0;
-         i < walk->holders.count && walk->count < GROUP_CANDIDATES; i++) {
-        Upstream_t *upstream = walk->holders.list[i];
-        if (Policy_mayUse(walk->placement, upstream) &&
-            !is_listed(walk, upstream)) {
-            walk->list[walk->count++] = upstream;
+         i < candidates->holders.count && candidates->count < CANDIDATES_MAX;
+         i++) {
+        Upstream_t *upstream = candidates->holders.list[i];
+        if (Policy_mayUse(candidates->placement, upstream) &&
+            !is_listed(candidates, upstream)) {
+            candidates->list[candidates->count++] = upstream;
         }
     }
 }
 
 static void
-find_candidates(Walk_t *walk, const Target_t *target)
+find_candidates(CandidateSet_t *candidates, const Target_t *target)
 {
-    const Placement_t *placement = walk->placement;
+    const Placement_t *placement = candidates->placement;
     gboolean grouped = placement->groups > 1;
-    walk->most = grouped ? 1 : CANDIDATES;
-    walk->short_below = find_short_below(placement);
+    candidates->ring_max = grouped ? 1 : RING_CANDIDATES;
+    candidates->short_hash_limit = find_short_hash_limit(placement);
     Ring_walk(target->ring, PrefixSupply_key(placement), RING_POINTS_MAX,
-              on_ring, walk);
-    if (grouped && walk->count > 0) {
-        add_group(walk);
+              visit_ring_engine, candidates);
+    if (grouped && candidates->count > 0) {
+        add_group_members(candidates);
     }
     if (placement->level_count > 0) {
-        PrefixSupply_findHolders(walk->policy->residency, placement,
-                                 target->by_hash, &walk->holders);
-        add_holders(walk);
+        PrefixSupply_findHolders(candidates->policy->residency, placement,
+                                 target->by_hash, &candidates->holders);
+        add_holders(candidates);
     }
-    if (!grouped && walk->short_below > 0 && PrefixSupply_isShort(placement)) {
-        add_for_short(walk);
+    if (!grouped && candidates->short_hash_limit > 0 &&
+        PrefixSupply_isShort(placement)) {
+        add_engines_for_short(candidates);
     }
 }
 
 static gboolean
 has_old_weights(const Placement_t *placement, const Upstream_t *upstream)
 {
-    return placement->newest &&
+    return placement->newest_weights &&
            placement->newest_age_ms >= OLD_WEIGHTS_GRACE_MS &&
-           strcmp(placement->newest, upstream->weights->str) != 0;
+           strcmp(placement->newest_weights, upstream->weights->str) != 0;
 }
 
 static gint64
-own_us(const Placement_t *placement, const Upstream_t *upstream,
-       const Supply_t *supply)
+prompt_compute_us(const Placement_t *placement, const Upstream_t *upstream,
+                  const Supply_t *supply)
 {
     guint tokens = placement->prompt_tokens - supply->tokens;
     return (gint64)(tokens * upstream->prefill_us_per_token);
 }
 
-/* What all routers have there, as far as it is known here. */
+/* Delay by the requests of all routers at an engine, as far as this router
+ * knows them. */
 static gint64
 load_us(const Upstream_t *upstream)
 {
@@ -300,78 +313,83 @@
            (gint64)RUNNING_COST_US * Upstream_requests(upstream);
 }
 
-/* Until it is taken into the batch: as the slots say, or as first tokens have
- * shown lately. Both tell of the same queue. */
+/* Time until the engine takes the request into its batch. The slots and the
+ * recent first tokens are two estimates of the same queue, so that the longer
+ * one counts, not the sum. */
 static gint64
 queue_us(const Upstream_t *upstream, gint64 now_ms)
 {
-    EngineQueueFacts_t facts = {
+    EngineQueueInput_t input = {
         .slots = upstream->slots,
         .requests = Upstream_requests(upstream),
         .run_us = upstream->run_us,
     };
-    return MAX(EngineQueue_waitUs(&facts), Upstream_waitUs(upstream, now_ms));
+    return MAX(EngineQueue_waitUs(&input), Upstream_waitUs(upstream, now_ms));
 }
 
-/* Of the shared part alone. */
+/* Time to compute the shared part, without its effect on other requests. */
 static gint64
-computed_us(const Placement_t *placement, const Upstream_t *upstream)
+shared_compute_us(const Placement_t *placement, const Upstream_t *upstream)
 {
     return PrefixSupply_computeUs(placement, upstream) /
-           PREFIX_SUPPLY_COMPUTE_TIMES;
+           PREFIX_SUPPLY_COMPUTE_FACTOR;
 }
 
-/* Time to the first token there. */
+/* Expected time to the first token. */
 static gint64
 expected_us(const Placement_t *placement, const Upstream_t *upstream,
             const Supply_t *supply)
 {
     return queue_us(upstream, placement->now_ms) + load_us(upstream) +
-           own_us(placement, upstream, supply) + supply->move_us +
+           prompt_compute_us(placement, upstream, supply) + supply->move_us +
            supply->wait_us;
 }
 
-/* What speaks against an engine besides, in terms of time. */
+/* Penalties of an engine beyond the expected time to the first token. */
 static gint64
-drawback_us(const Walk_t *walk, guint rank, const Supply_t *supply,
-            gint64 expected)
+penalty_us(const CandidateSet_t *candidates, guint rank,
+           const Supply_t *supply, gint64 expected)
 {
-    const Placement_t *placement = walk->placement;
-    const Upstream_t *upstream = walk->list[rank];
-    gint64 drawback = rank > 0 ? SPILL_COST_US : 0;
+    const Placement_t *placement = candidates->placement;
+    const Upstream_t *upstream = candidates->list[rank];
+    gint64 penalty = rank > 0 ? SPILL_COST_US : 0;
     if (supply->tokens == 0) {
-        drawback += PrefixSupply_computeUs(placement, upstream) -
-                    computed_us(placement, upstream);
+        penalty += PrefixSupply_computeUs(placement, upstream) -
+                   shared_compute_us(placement, upstream);
     }
-    if (walk->short_below > 0 &&
-        is_for_short(walk, upstream) != PrefixSupply_isShort(placement)) {
-        drawback += OTHER_KIND_COST_US;
+    if (candidates->short_hash_limit > 0 &&
+        serves_short(candidates, upstream) !=
+            PrefixSupply_isShort(placement)) {
+        penalty += OTHER_LENGTH_COST_US;
     }
     if (placement->latest_us > 0 && expected > placement->latest_us) {
-        drawback += LATE_COST_US;
+        penalty += LATE_COST_US;
     }
     if (has_old_weights(placement, upstream)) {
-        drawback += OLD_WEIGHTS_COST_US;
+        penalty += OLD_WEIGHTS_COST_US;
     }
     if (placement->now_ms < upstream->soon_until_ms) {
-        drawback += MAX(placement->run_us - SOON_SPARE_US, 0);
+        penalty += MAX(placement->run_us - RUN_BEFORE_LOAD_US, 0);
     }
-    return drawback;
+    return penalty;
 }
 
 static Choice_t
-cheapest(const Walk_t *walk)
+find_cheapest(const CandidateSet_t *candidates)
 {
-    Choice_t choice = {.reason = "none_usable", .candidates = walk->count};
-    gint64 least = G_MAXINT64;
-    for (guint rank = 0; rank < walk->count; rank++) {
-        Upstream_t *upstream = walk->list[rank];
-        Supply_t supply =
-            PrefixSupply_find(&walk->holders, walk->placement, upstream);
-        gint64 expected = expected_us(walk->placement, upstream, &supply);
-        gint64 cost = expected + drawback_us(walk, rank, &supply, expected);
-        if (cost < least) {
-            least = cost;
+    Choice_t choice = {.reason = "none_usable",
+                       .candidates = candidates->count};
+    gint64 min_cost = G_MAXINT64;
+    for (guint rank = 0; rank < candidates->count; rank++) {
+        Upstream_t *upstream = candidates->list[rank];
+        Supply_t supply = PrefixSupply_find(&candidates->holders,
+                                            candidates->placement, upstream);
+        gint64 expected =
+            expected_us(candidates->placement, upstream, &supply);
+        gint64 cost =
+            expected + penalty_us(candidates, rank, &supply, expected);
+        if (cost < min_cost) {
+            min_cost = cost;
             choice.upstream = upstream;
             choice.reason = rank == 0 ? "home" : "spilled";
             choice.cost_us = expected;
@@ -381,13 +399,14 @@
     return choice;
 }
 
-/* Where this router knows of no holder, other routers may: the home has most
- * likely read what is asked for, or while it was away the next one. */
+/* The engine that most likely holds a prefix of which this router knows no
+ * holder: requests of other routers have most likely taken it to the home or,
+ * while the home was unusable, to the next engine. */
 static Upstream_t *
-likely_source(const Walk_t *walk, const Upstream_t *to)
+likely_source(const CandidateSet_t *candidates, const Upstream_t *to)
 {
-    for (guint rank = 0; rank < walk->count; rank++) {
-        Upstream_t *from = walk->list[rank];
+    for (guint rank = 0; rank < candidates->count; rank++) {
+        Upstream_t *from = candidates->list[rank];
         if (from != to && from->ejections == 0 &&
             strcmp(from->weights->str, to->weights->str) == 0) {
             return from;
@@ -397,13 +416,13 @@
 }
 
 static void
-fill_supply(const Walk_t *walk, Choice_t *choice)
+fill_supply(const CandidateSet_t *candidates, Choice_t *choice)
 {
     choice->expected_cached = choice->supply.tokens;
-    choice->own_us =
-        own_us(walk->placement, choice->upstream, &choice->supply);
+    choice->own_us = prompt_compute_us(candidates->placement, choice->upstream,
+                                       &choice->supply);
     if (choice->supply.kind == SUPPLY_UNKNOWN) {
-        choice->supply.source = likely_source(walk, choice->upstream);
+        choice->supply.source = likely_source(candidates, choice->upstream);
     }
 }
 
@@ -411,12 +430,13 @@
 choose(Policy_t *super, const Placement_t *placement)
 {
     HomePolicy_t *this = (HomePolicy_t *)super;
-    Walk_t walk = {.policy = this, .placement = placement};
-    find_candidates(&walk, target_of(this, placement));
-    Choice_t choice = cheapest(&walk);
-    choice.group = walk.count > 0 ? group_of(placement, walk.list[0]) : 0;
+    CandidateSet_t candidates = {.policy = this, .placement = placement};
+    find_candidates(&candidates, target_of(this, placement));
+    Choice_t choice = find_cheapest(&candidates);
+    choice.group =
+        candidates.count > 0 ? group_of(placement, candidates.list[0]) : 0;
     if (choice.upstream) {
-        fill_supply(&walk, &choice);
+        fill_supply(&candidates, &choice);
     }
     return choice;
 }
@@ -435,10 +455,10 @@
 }
 
 static void
-begin(Policy_t *super, const Placement_t *placement, const Choice_t *choice)
+commit(Policy_t *super, const Placement_t *placement, const Choice_t *choice)
 {
     (void)super;
-    PrefixSupply_begin(placement, choice);
+    PrefixSupply_commit(placement, choice);
 }
 
 static void
@@ -455,7 +475,7 @@
     .destroy = destroy,
     .choose = choose,
     .learn = learn,
-    .begin = begin,
+    .commit = commit,
 };
 
 Policy_t *
@@ -463,7 +483,7 @@
 {
     HomePolicy_t *this = g_new0(HomePolicy_t, 1);
     this->super.class = &class;
-    this->residency = Residency_create(RESIDENCY_PREFIXES);
+    this->residency = Residency_create(RESIDENCY_PREFIXES_DEFAULT);
     this->targets =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_target);
     return &this->super;
--- a/src/HomePolicy.h
+++ b/src/HomePolicy.h
@@ -3,16 +3,16 @@
 /**
  * DOC: HomePolicy
  *
- * Gives each shared prefix one engine, its home, by consistent hashing, on
+ * Assigns each shared prefix one engine, its home, by consistent hashing, on
  * which all routers agree without a message. A request leaves the home only
- * where it can't serve now or where its first token would come much later
- * than at the next engine on the ring. That one is then told to take the
- * cached prefix from an engine that has it, rather than compute it again.
- * Where engines are divided into groups (Dispatch.h), the others of the home's
- * group take the place of the next ones on the ring.
+ * where the home is unusable or where its first token would come much later
+ * than from the next engine on the ring. That engine is then asked to fetch
+ * the cached prefix from an engine that has it instead of computing it again.
+ * Where engines are divided into groups (Dispatch.h), the other engines of the
+ * home's group take the place of the next engines on the ring.
  *
- * It is for engines that say nothing of their caches and their load in their
- * answers: the wait at an engine is learned from when first tokens came.
+ * The policy serves engines that report neither cache nor load in their
+ * answers: it learns the wait at an engine from the delay of first tokens.
  */
 #include "Policy.h"
 
--- a/src/LeastLoadedPolicy.c
+++ b/src/LeastLoadedPolicy.c
@@ -2,7 +2,7 @@
 
 typedef struct {
     Policy_t super;
-    guint turn;
+    guint rotation; /* index that the search starts from, breaks ties */
 } LeastLoadedPolicy_t;
 
 static guint64
@@ -12,18 +12,19 @@
            upstream->reported_running;
 }
 
-/* Of two with the same load the one with an open connection: a new one takes
- * time and work there. As each is used in turn, a router keeps connections to
- * just so many upstreams as its requests keep open. */
+/* Of two upstreams with the same load, prefers the one with an open
+ * connection: a new connection costs time and work on the upstream. The
+ * router thus keeps connections to only as many upstreams as its requests use
+ * at a time, although the search starts at each upstream in turn. */
 static gboolean
 is_better(const Placement_t *placement, const Upstream_t *upstream,
-          const Upstream_t *than)
+          const Upstream_t *best)
 {
-    if (!than || load_of(upstream) != load_of(than)) {
-        return !than || load_of(upstream) < load_of(than);
+    if (!best || load_of(upstream) != load_of(best)) {
+        return !best || load_of(upstream) < load_of(best);
     }
     return Upstream_isWarm(upstream, placement->warm_ms, placement->now_ms) &&
-           !Upstream_isWarm(than, placement->warm_ms, placement->now_ms);
+           !Upstream_isWarm(best, placement->warm_ms, placement->now_ms);
 }
 
 static Choice_t
@@ -32,10 +33,10 @@
     LeastLoadedPolicy_t *this = (LeastLoadedPolicy_t *)super;
     guint count = placement->serving->len;
     Choice_t best = {.reason = "none_usable", .candidates = count};
-    this->turn++;
+    this->rotation++;
     for (guint i = 0; i < count; i++) {
-        Upstream_t *upstream =
-            g_ptr_array_index(placement->serving, (i + this->turn) % count);
+        Upstream_t *upstream = g_ptr_array_index(placement->serving,
+                                                 (i + this->rotation) % count);
         if (!Policy_mayUse(placement, upstream)) {
             continue;
         }
--- a/src/LeastLoadedPolicy.h
+++ b/src/LeastLoadedPolicy.h
@@ -3,12 +3,12 @@
 /**
  * DOC: LeastLoadedPolicy
  *
- * The usable upstream with the least work, as far as is known. A baseline
- * for measurements, and the policy for plain services.
+ * Chooses the usable upstream with the fewest known requests. A baseline for
+ * measurements, and the policy for plain services.
  */
 #include "Policy.h"
 
-/** LeastLoadedPolicy_create() - it has no state but a turn for ties */
+/** LeastLoadedPolicy_create() - its only state is a rotation to break ties */
 Policy_t *LeastLoadedPolicy_create(void);
 
 #endif
--- a/src/LoadShare.c
+++ b/src/LoadShare.c
@@ -114,7 +114,8 @@
         Upstream_t *upstream =
             UpstreamSet_findHash(this->spec.upstreams, peer_load->upstream);
         if (upstream) {
-            EngineMemory_takeTold(&upstream->memory, peer_load->taken_tokens);
+            EngineMemory_notePeerTokens(&upstream->memory,
+                                        peer_load->taken_tokens);
         }
     }
     for (size_t i = 0; i < message->n_reads; i++) {
@@ -160,7 +161,7 @@
 is_busy(const Upstream_t *upstream, gint64 now_us)
 {
     return upstream->in_flight > 0 || upstream->pending_tokens > 0 ||
-           upstream->memory.untold > 0 ||
+           upstream->memory.unsent_tokens > 0 ||
            Link_ownUs(&upstream->link, now_us) > 0;
 }
 
@@ -187,8 +188,8 @@
     load->tokens = (guint32)MAX(upstream->pending_tokens, 0);
     load->requests = upstream->in_flight;
     load->link_us = (guint32)Link_ownUs(&upstream->link, now_us);
-    load->taken_tokens = upstream->memory.untold;
-    upstream->memory.untold = 0;
+    load->taken_tokens = upstream->memory.unsent_tokens;
+    upstream->memory.unsent_tokens = 0;
 }
 
 static void
@@ -225,7 +226,7 @@
     message.n_reads = read_count;
     message.reads = read_list;
     message.store_link_us =
-        (guint32)CacheStore_ownUs(this->spec.store, now_us);
+        (guint32)CacheStore_localUs(this->spec.store, now_us);
     frame.body_case = WT__PEER_MESSAGE__BODY_LOADS;
     frame.loads = &message;
     Membership_sendAll(this->spec.membership, &frame);
--- a/src/Placer.c
+++ b/src/Placer.c
@@ -24,44 +24,45 @@
 
 static void
 fill_placement(const Context_t *context, const Prompt_t *prompt,
-               const PlacementTerms_t *terms, Placing_t *placing)
+               const PlacementConstraints_t *constraints,
+               PlacerResult_t *result)
 {
     const char *model = prompt->model->str;
-    placing->placement = (Placement_t){
+    result->placement = (Placement_t){
         .target = model,
         .serving = UpstreamSet_serving(context->upstreams, ROLE_ENGINE, model),
         .generation = UpstreamSet_generation(context->upstreams),
         .prompt_tokens = Prompt_tokens(prompt),
         .hall = context->settings->router.hall->str,
         .region = context->settings->router.region->str,
-        .weights = placing->weights,
+        .weights = result->weights,
         .now_ms = Clock_nowMs(),
     };
-    Placement_setTerms(&placing->placement, terms);
+    Placement_setConstraints(&result->placement, constraints);
 }
 
 gboolean
 Placer_place(const Context_t *context, const Prompt_t *prompt,
-             const char *customer, const PlacementTerms_t *terms,
-             Placing_t *placing)
+             const char *customer, const PlacementConstraints_t *constraints,
+             PlacerResult_t *result)
 {
     const Object_t *model =
         ConfigStore_find(context->config, OBJECT_MODEL, prompt->model->str);
     if (!model) {
         return FALSE;
     }
-    placing->weights = ((const Model_t *)model->spec)->weights->str;
+    result->weights = ((const Model_t *)model->spec)->weights->str;
     SaltInput_t input = {
         .customer = customer,
         .model = prompt->model->str,
-        .weights = placing->weights,
+        .weights = result->weights,
         .adapter = prompt->adapter->str,
         .adapter_weights = adapter_weights(context, prompt),
     };
     guint64 seed =
-        Salt_make(&input, context->settings->keys.salt, placing->salt);
-    fill_placement(context, prompt, terms, placing);
-    fill_levels(&placing->placement, prompt, seed);
-    placing->choice = Policy_choose(context->policy, &placing->placement);
+        Salt_make(&input, context->settings->keys.salt, result->salt);
+    fill_placement(context, prompt, constraints, result);
+    fill_levels(&result->placement, prompt, seed);
+    result->choice = Policy_choose(context->policy, &result->placement);
     return TRUE;
 }
--- a/src/Policies.h
+++ b/src/Policies.h
@@ -3,11 +3,11 @@
 /**
  * DOC: Policies
  *
- * All classes of Policy.h by the names that the settings give them.
+ * Creates the policy class (Policy.h) that a setting selects.
  */
 #include "Policy.h"
 
-/** Policies_create() - the policy that a setting names */
+/** Policies_create() - create the policy of a name */
 Policy_t *Policies_create(PolicyName_t name);
 
 #endif
--- a/src/Policy.c
+++ b/src/Policy.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* One that is not known to have the weights is tried only as a last resort:
- * it may have loaded them since. */
+/* An upstream whose known weights differ is used only as a last resort: it
+ * may have loaded the required weights since. */
 static gboolean
 has_weights(const Placement_t *placement, const Upstream_t *upstream)
 {
@@ -12,31 +12,32 @@
 }
 
 static gboolean
-has_room(const Placement_t *placement, const Upstream_t *upstream)
+has_capacity(const Placement_t *placement, const Upstream_t *upstream)
 {
     if (!upstream->limit.is_named || placement->ignores_limits ||
         upstream == placement->permitted) {
         return TRUE;
     }
-    return !placement->spares_limited &&
+    return !placement->excludes_limited &&
            UpstreamLimit_fullMs(&upstream->limit, placement->now_ms) == 0;
 }
 
-/* Just after a rest, few requests are sent there; a last resort does not wait
- * for its turn. */
+/* Just after a backoff, requests to the upstream are paced; a last resort does
+ * not wait for its time slot. */
 static gboolean
-is_resting(const Placement_t *placement, const Upstream_t *upstream)
+is_backed_off(const Placement_t *placement, const Upstream_t *upstream)
 {
-    const UpstreamRest_t *rest = &upstream->rest;
-    if (placement->ignores_rests) {
+    const UpstreamRest_t *backoff = &upstream->rest;
+    if (placement->ignores_backoffs) {
         return FALSE;
     }
-    return UpstreamRest_leftMs(rest, placement->now_ms) > 0 ||
-           (!placement->desperate &&
-            UpstreamRest_isPaced(rest, placement->now_ms));
+    return UpstreamRest_leftMs(backoff, placement->now_ms) > 0 ||
+           (!placement->is_last_resort &&
+            UpstreamRest_isPaced(backoff, placement->now_ms));
 }
 
-/* The upstream that just failed is used again only if it is the only one. */
+/* Where an attempt failed, its upstream is used again only if it is the only
+ * one. */
 gboolean
 Policy_mayUse(const Placement_t *placement, const Upstream_t *upstream)
 {
@@ -46,14 +47,15 @@
     if (placement->permitted && upstream != placement->permitted) {
         return FALSE;
     }
-    if (!has_room(placement, upstream) || is_resting(placement, upstream)) {
+    if (!has_capacity(placement, upstream) ||
+        is_backed_off(placement, upstream)) {
         return FALSE;
     }
-    if (placement->least_weights > 0 &&
-        Upstream_version(upstream) < placement->least_weights) {
+    if (placement->min_weights_version > 0 &&
+        Upstream_version(upstream) < placement->min_weights_version) {
         return FALSE;
     }
-    return placement->desperate
+    return placement->is_last_resort
                ? Upstream_takesWork(upstream) && !upstream->suspect
                : Upstream_isUsable(upstream, placement->now_ms) &&
                      has_weights(placement, upstream);
@@ -66,16 +68,16 @@
     if (choice.upstream) {
         return choice;
     }
-    Placement_t again = *placement;
-    again.desperate = TRUE;
-    return this->class->choose(this, &again);
+    Placement_t last_resort = *placement;
+    last_resort.is_last_resort = TRUE;
+    return this->class->choose(this, &last_resort);
 }
 
-LimitedRoom_t
+LimitedCapacity_t
 Policy_findLimited(const Placement_t *placement)
 {
     Placement_t unlimited = *placement;
-    LimitedRoom_t room = {.full_ms = G_MAXINT64};
+    LimitedCapacity_t capacity = {.full_ms = G_MAXINT64};
     unlimited.permitted = NULL;
     unlimited.ignores_limits = TRUE;
     for (guint i = 0; i < placement->serving->len; i++) {
@@ -85,26 +87,26 @@
             continue;
         }
         gint64 full_ms = UpstreamLimit_fullMs(limit, placement->now_ms);
-        room.count++;
-        room.per_s += UpstreamLimit_rate(limit).per_s;
-        room.full_ms = MIN(room.full_ms, full_ms);
+        capacity.count++;
+        capacity.per_s += UpstreamLimit_rate(limit).per_s;
+        capacity.full_ms = MIN(capacity.full_ms, full_ms);
     }
-    return room;
+    return capacity;
 }
 
-RestingUpstreams_t
-Policy_findResting(const Placement_t *placement)
+BackedOffUpstreams_t
+Policy_findBackedOff(const Placement_t *placement)
 {
-    Placement_t rested = *placement;
-    RestingUpstreams_t found = {.first_ms = G_MAXINT64};
-    rested.permitted = NULL;
-    rested.ignores_rests = TRUE;
-    rested.desperate = TRUE;
+    Placement_t unpaced = *placement;
+    BackedOffUpstreams_t found = {.first_ms = G_MAXINT64};
+    unpaced.permitted = NULL;
+    unpaced.ignores_backoffs = TRUE;
+    unpaced.is_last_resort = TRUE;
     for (guint i = 0; i < placement->serving->len; i++) {
         const Upstream_t *upstream = g_ptr_array_index(placement->serving, i);
         gint64 left_ms =
             UpstreamRest_leftMs(&upstream->rest, placement->now_ms);
-        if (left_ms > 0 && Policy_mayUse(&rested, upstream)) {
+        if (left_ms > 0 && Policy_mayUse(&unpaced, upstream)) {
             found.count++;
             found.first_ms = MIN(found.first_ms, left_ms);
         }
--- a/src/Policy.h
+++ b/src/Policy.h
@@ -3,8 +3,8 @@
 /**
  * DOC: Policy
  *
- * How an upstream is chosen for a request. Each policy is one class; which
- * one is in force is a setting (Policies.h).
+ * Chooses an upstream for a request. Each policy is one class; a setting
+ * selects the class that is used (Policies.h).
  */
 #include <glib.h>
 
@@ -14,37 +14,40 @@
 #include "UpstreamSet.h"
 
 /**
- * struct Placement_t - a request that wants an upstream
+ * struct Placement_t - a request that needs an upstream
  * @target: model or service
- * @serving: all upstreams that serve it
- * @generation: of the upstream set
+ * @serving: all upstreams that serve the target
+ * @generation: generation of the upstream set
  * @level_count: prefix levels, 0 for a plain service
- * @levels: identity of each, salted
- * @level_tokens: estimated tokens up to the end of each
+ * @levels: identity of each level, salted
+ * @level_tokens: estimated tokens up to the end of each level
  * @prompt_tokens: estimated tokens of the whole prompt
- * @hall: the router's own
- * @region: the router's own
+ * @hall: hall of this router
+ * @region: region of this router
  * @weights: version that the answer must come from, or NULL
- * @least_weights: no version below it, not even as a last resort; 0 for any
- * @newest: version that is preferred, or NULL
- * @newest_age_ms: how long ago it was named
- * @cache_store: what is kept beside the engines, or NULL
- * @cache_tokens: that an engine's memory holds, 0 for unknown
- * @move_us_per_token: over an engine's link, 0 for unknown
- * @store_us_per_token: over the store's link, 0 for unknown
- * @run_us: how long it is expected to run after its first token, 0 for unknown
- * @latest_us: by when the first token should come, 0 for any time
- * @short_share: of the engines, that are for short prompts; 0 for none
- * @warm_ms: longest rest of a connection that the request may use
+ * @min_weights_version: lowest version that may answer, even as a last
+ *     resort; 0 for any
+ * @newest_weights: version that is preferred, or NULL
+ * @newest_age_ms: time since the newest version was named
+ * @cache_store: store of cached prefixes beside the engines, or NULL
+ * @cache_tokens: capacity of an engine's cache, 0 for unknown
+ * @move_us_per_token: transfer time over an engine's link, 0 for unknown
+ * @store_us_per_token: transfer time over the store's link, 0 for unknown
+ * @run_us: expected time from the first token to the end, 0 for unknown
+ * @latest_us: longest wait for the first token that is still in time, 0 for
+ *     any
+ * @short_share: share of the engines that serve short prompts, 0 for none
+ * @warm_ms: longest idle time of a connection that the request may use
  * @avoid: upstream of the last attempt that failed, or NULL
- * @permitted: upstream with room for this request, so that no other one is
- *     used; NULL for none
- * @groups: the upstreams are divided into so many, and one is chosen of the
- *     group of its home; 0 or 1 for no groups
- * @spares_limited: no upstream that has named a limit is used
- * @ignores_limits: as if none had named one
- * @ignores_rests: as if none had asked for rest
- * @desperate: nothing else is left, so that an ejected one will do
+ * @permitted: the only upstream that may be used, as its limit has admitted
+ *     this request; NULL for any
+ * @groups: number of groups that the upstreams are divided into; the request
+ *     stays in the group of its home; 0 or 1 for no groups
+ * @excludes_limited: upstreams that have named a limit are not used
+ * @ignores_limits: limits that upstreams have named do not count
+ * @ignores_backoffs: backoffs that upstreams have asked for do not count
+ * @is_last_resort: no usable upstream is left, so that ejected ones and those
+ *     with other weights may be used
  * @now_ms: monotonic
  */
 typedef struct {
@@ -58,8 +61,8 @@
     const char *hall;
     const char *region;
     const char *weights;
-    guint64 least_weights;
-    const char *newest;
+    guint64 min_weights_version;
+    const char *newest_weights;
     gint64 newest_age_ms;
     struct CacheStore *cache_store;
     guint cache_tokens;
@@ -72,29 +75,30 @@
     const Upstream_t *avoid;
     const Upstream_t *permitted;
     guint groups;
-    gboolean spares_limited;
+    gboolean excludes_limited;
     gboolean ignores_limits;
-    gboolean ignores_rests;
-    gboolean desperate;
+    gboolean ignores_backoffs;
+    gboolean is_last_resort;
     gint64 now_ms;
 } Placement_t;
 
 /**
- * struct PlacementTerms_t - which upstreams a request may use; see Placement_t
+ * struct PlacementConstraints_t - which upstreams a request may use; see
+ * Placement_t
  */
 typedef struct {
     const Upstream_t *avoid;
     const Upstream_t *permitted;
-    gboolean spares_limited;
-} PlacementTerms_t;
+    gboolean excludes_limited;
+} PlacementConstraints_t;
 
 /**
- * enum SupplyKind_t - how an engine comes by the shared part of a prompt
- * @SUPPLY_UNKNOWN: nobody is known to have it
- * @SUPPLY_HELD: it should hold it
- * @SUPPLY_ENGINE: another engine that should hold it gives it
- * @SUPPLY_STORE: the store of cached prefixes gives it
- * @SUPPLY_COMPUTED: it computes it, as that is soonest
+ * enum SupplyKind_t - how an engine obtains the shared part of a prompt
+ * @SUPPLY_UNKNOWN: no engine and no store is known to hold it
+ * @SUPPLY_HELD: the engine should already hold it
+ * @SUPPLY_ENGINE: fetched from another engine that should hold it
+ * @SUPPLY_STORE: fetched from the store of cached prefixes
+ * @SUPPLY_COMPUTED: computed by the engine, as that is the soonest
  */
 typedef enum {
     SUPPLY_UNKNOWN,
@@ -105,13 +109,13 @@
 } SupplyKind_t;
 
 /**
- * struct Supply_t - the same in detail
- * @kind: how
- * @tokens: of the prompt, that need not be computed
- * @move_us: what the move takes once it has begun
- * @wait_us: until it begins
- * @source: engine that gives it, or may have it where nobody is known to;
- *     else NULL
+ * struct Supply_t - how an engine obtains the shared part, and at what cost
+ * @kind: way that is used
+ * @tokens: prompt tokens that need not be computed
+ * @move_us: duration of the transfer once it has begun
+ * @wait_us: time until the transfer begins
+ * @source: engine to fetch the shared part from; for SUPPLY_UNKNOWN an engine
+ *     that may have it; else NULL
  */
 typedef struct {
     SupplyKind_t kind;
@@ -124,13 +128,13 @@
 /**
  * struct Choice_t - the upstream chosen
  * @upstream: NULL where none is usable
- * @reason: why, a static text for traces
- * @candidates: how many were weighed
- * @expected_cached: prompt tokens that it should have in its cache
+ * @reason: why it was chosen, a static text for traces
+ * @candidates: number of upstreams that were compared
+ * @expected_cached: prompt tokens that it need not compute
  * @cost_us: expected time to the first token
- * @own_us: the part of it that the prompt itself takes to compute
- * @supply: how it comes by the shared part of the prompt
- * @group: of the home, where there are groups
+ * @own_us: part of @cost_us that computes this prompt
+ * @supply: how the upstream obtains the shared part of the prompt
+ * @group: group of the home, where there are groups
  */
 typedef struct {
     Upstream_t *upstream;
@@ -147,12 +151,12 @@
 
 /**
  * struct PolicyClass_t - one policy
- * @name: as the setting has it
+ * @name: value of the setting that selects it
  * @destroy: free it
- * @choose: weigh the candidates
- * @learn: an engine said what it had in its cache, or has read the whole
- *     prompt; may be NULL
- * @begin: a choice is carried out; may be NULL
+ * @choose: compare the candidates and choose one
+ * @learn: an engine reported its cached tokens, or has read the whole prompt;
+ *     may be NULL
+ * @commit: a request is sent to the chosen upstream; may be NULL
  */
 typedef struct {
     const char *name;
@@ -160,8 +164,8 @@
     Choice_t (*choose)(Policy_t *this, const Placement_t *placement);
     void (*learn)(Policy_t *this, const Placement_t *placement,
                   const Upstream_t *upstream, guint expected, guint cached);
-    void (*begin)(Policy_t *this, const Placement_t *placement,
-                  const Choice_t *choice);
+    void (*commit)(Policy_t *this, const Placement_t *placement,
+                   const Choice_t *choice);
 } PolicyClass_t;
 
 /** struct Policy_t - extended by each class */
@@ -179,15 +183,15 @@
 /**
  * Policy_choose() - choose an upstream
  *
- * An ejected one is chosen only where no other is left: that it failed a
- * while ago is no proof that it would fail again.
+ * An ejected upstream is chosen only where no other is left: a failure some
+ * time ago does not prove that it would fail again.
  */
 Choice_t Policy_choose(Policy_t *this, const Placement_t *placement);
 
 /**
  * Policy_learn() - learn from an engine's answer
  * @expected: cached tokens that the choice had expected
- * @cached: cached tokens that there were
+ * @cached: cached tokens that the engine found
  */
 static inline void
 Policy_learn(Policy_t *this, const Placement_t *placement,
@@ -199,10 +203,10 @@
 }
 
 /**
- * Placement_sharedLevel() - the last level of the part that prompts share
+ * Placement_sharedLevel() - the last level that other prompts may share
  *
- * The last part of a prompt is its own; what is before it is shared. There
- * must be one level at least.
+ * The last level of a prompt is not shared, all levels before it are. There
+ * must be at least one level.
  */
 static inline guint
 Placement_sharedLevel(const Placement_t *this)
@@ -210,72 +214,73 @@
     return this->level_count > 1 ? this->level_count - 2 : 0;
 }
 
-/** Placement_setTerms() - fill them in */
+/** Placement_setConstraints() - copy the constraints into the placement */
 static inline void
-Placement_setTerms(Placement_t *this, const PlacementTerms_t *terms)
+Placement_setConstraints(Placement_t *this,
+                         const PlacementConstraints_t *constraints)
 {
-    this->avoid = terms->avoid;
-    this->permitted = terms->permitted;
-    this->spares_limited = terms->spares_limited;
+    this->avoid = constraints->avoid;
+    this->permitted = constraints->permitted;
+    this->excludes_limited = constraints->excludes_limited;
 }
 
-/** Policy_mayUse() - whether an upstream may be chosen at all */
+/** Policy_mayUse() - whether an upstream may be chosen for a request */
 gboolean Policy_mayUse(const Placement_t *placement,
                        const Upstream_t *upstream);
 
 /**
- * struct LimitedRoom_t - upstreams that have named limits, and would be used
- * otherwise
- * @count: of them
- * @per_s: requests a second that they take together
- * @full_ms: when one of them has room at the soonest
+ * struct LimitedCapacity_t - upstreams that would be usable but for the limits
+ * that they have named
+ * @count: number of these upstreams
+ * @per_s: sum of their limits in requests per second
+ * @full_ms: time until the first of them has free capacity
  */
 typedef struct {
     guint count;
     double per_s;
     gint64 full_ms;
-} LimitedRoom_t;
+} LimitedCapacity_t;
 
-/** Policy_findLimited() - of the upstreams that are weighed, those that only
- * their limits keep from being used */
-LimitedRoom_t Policy_findLimited(const Placement_t *placement);
+/** Policy_findLimited() - the upstreams of a request that would be usable but
+ * for their limits */
+LimitedCapacity_t Policy_findLimited(const Placement_t *placement);
 
 /**
- * struct RestingUpstreams_t - upstreams that have asked for rest, and would be
- * used otherwise
- * @count: of them
- * @first_ms: until the first of them ends its rest
+ * struct BackedOffUpstreams_t - upstreams that would be usable but for the
+ * backoff that they have asked for
+ * @count: number of these upstreams
+ * @first_ms: time until the first backoff ends
  */
 typedef struct {
     guint count;
     gint64 first_ms;
-} RestingUpstreams_t;
+} BackedOffUpstreams_t;
 
-/** Policy_findResting() - of the upstreams that are weighed, those that only
- * their rest keeps from being used */
-RestingUpstreams_t Policy_findResting(const Placement_t *placement);
+/** Policy_findBackedOff() - the upstreams of a request that would be usable
+ * but for their backoff */
+BackedOffUpstreams_t Policy_findBackedOff(const Placement_t *placement);
 
-/** Policy_areAllLeaving() - whether all of the upstreams that are weighed, one
- * at least, are about to end */
+/** Policy_areAllLeaving() - whether the request has upstreams and all of them
+ * are shutting down */
 gboolean Policy_areAllLeaving(const Placement_t *placement);
 
-/** Policy_supplyName() - a static text for logs */
+/** Policy_supplyName() - name of a kind, a static text for logs */
 const char *Policy_supplyName(SupplyKind_t kind);
 
-/** Policy_begin() - a request is sent where it was chosen to go */
+/** Policy_commit() - a request is sent to the chosen upstream */
 static inline void
-Policy_begin(Policy_t *this, const Placement_t *placement,
-             const Choice_t *choice)
+Policy_commit(Policy_t *this, const Placement_t *placement,
+              const Choice_t *choice)
 {
-    if (this->class->begin) {
-        this->class->begin(this, placement, choice);
+    if (this->class->commit) {
+        this->class->commit(this, placement, choice);
     }
 }
 
 /**
  * Policy_learnPrefix() - an engine has read the shared part of a prompt
- * @prefix: its identity
- * @tokens: its length
+ * @prefix: identity of the shared part
+ * @tokens: length of the shared part
  */
 void Policy_learnPrefix(Policy_t *this, guint64 prefix, guint tokens,
                         const Upstream_t *upstream, gint64 now_ms);
--- a/src/PrefixPolicy.c
+++ b/src/PrefixPolicy.c
@@ -6,39 +6,42 @@
 #include "Residency.h"
 #include "Ring.h"
 
-/* Engines on the ring that are weighed for each request. */
+/* Engines of the ring that are candidates for each request. */
 #define RING_CANDIDATES 2
 #define RING_POINTS_MAX 64
-#define CHANCE_CANDIDATES 2
+#define RANDOM_CANDIDATES 2
 #define CANDIDATES_MAX 16
-/* The level at which requests are spread: a member's or a match's history. */
-#define SPREAD_LEVEL 1
-/* One way and back again between two halls of a region, and between regions;
- * in microseconds. */
-#define HALL_COST_US 3000
-#define REGION_COST_US 60000
-/* How much later a first token may come before a request leaves the engine
- * that hashing puts first: routers in all halls have to agree on one. */
+/* Level whose identity is hashed onto the ring: the history of a member or of
+ * a match. */
+#define RING_LEVEL 1
+/* Round trip between two halls of a region, and between two regions. */
+#define HALL_ROUND_TRIP_US 3000
+#define REGION_ROUND_TRIP_US 60000
+/* Extra delay of the first token that is accepted before a request leaves the
+ * first engine of the ring for the second: routers in all halls have to agree
+ * on one engine. SPILL_COST_US is the same for an engine drawn at random. */
 #define NEXT_HASHED_COST_US 10000L
 #define SPILL_COST_US 20000
-/* An engine's cache is trusted for this long before anything is learned. */
-#define FIRST_HORIZON_MS 60000
-#define LEAST_HORIZON_MS 200
+/* Age up to which a cached prefix is assumed to be still present: before
+ * anything is learned of the engine, and at the least. */
+#define INITIAL_HORIZON_MS 60000
+#define HORIZON_MIN_MS 200
 
 typedef struct {
     Upstream_t *upstream;
     guint cached;
-    gint64 extra_us;
+    gint64 penalty_us;
     const char *reason;
 } Candidate_t;
 
-/* The ring of all regions is made only where the router's own has none. */
+/* The ring of all regions is created once a request finds no candidate in the
+ * router's own region. */
 typedef struct {
     Ring_t *region;
     Ring_t *all;
 } Rings_t;
 
-/* What was learned of one engine's cache. */
+/* What was learned about the cache of one engine. */
 typedef struct {
     gint64 horizon_ms;
 } Cache_t;
@@ -47,8 +50,8 @@
     Policy_t super;
     Residency_t *residency;
     GHashTable *rings;     /* target -> Rings_t */
-    GHashTable *upstreams; /* &hash -> Upstream_t, of this generation */
-    GHashTable *caches;    /* &hash (in Upstream_t's lifetime: copied) */
+    GHashTable *upstreams; /* &hash -> Upstream_t of this generation */
+    GHashTable *caches;    /* copy of hash -> Cache_t; outlives Upstream_t */
     guint64 generation;
 } PrefixPolicy_t;
 
@@ -56,8 +59,8 @@
     const Placement_t *placement;
     Candidate_t list[CANDIDATES_MAX];
     guint count;
-    guint ring_wanted;
-} Weighing_t;
+    guint ring_missing; /* candidates that the ring still has to yield */
+} CandidateSet_t;
 
 static void
 free_rings(gpointer data)
@@ -87,9 +90,9 @@
     return rings;
 }
 
-/* Upstreams of an older generation may be freed by now. */
+/* Upstreams of an older generation may have been freed. */
 static void
-follow_generation(PrefixPolicy_t *this, const Placement_t *placement)
+drop_old_generation(PrefixPolicy_t *this, const Placement_t *placement)
 {
     if (this->generation != placement->generation) {
         g_hash_table_remove_all(this->upstreams);
@@ -104,7 +107,7 @@
     Cache_t *cache = g_hash_table_lookup(this->caches, &upstream);
     if (!cache) {
         cache = g_new0(Cache_t, 1);
-        cache->horizon_ms = FIRST_HORIZON_MS;
+        cache->horizon_ms = INITIAL_HORIZON_MS;
         g_hash_table_insert(this->caches,
                             g_memdup2(&upstream, sizeof(upstream)), cache);
     }
@@ -112,10 +115,10 @@
 }
 
 static gboolean
-has_candidate(const Weighing_t *weighing, const Upstream_t *upstream)
+has_candidate(const CandidateSet_t *candidates, const Upstream_t *upstream)
 {
-    for (guint i = 0; i < weighing->count; i++) {
-        if (weighing->list[i].upstream == upstream) {
+    for (guint i = 0; i < candidates->count; i++) {
+        if (candidates->list[i].upstream == upstream) {
             return TRUE;
         }
     }
@@ -123,14 +126,14 @@
 }
 
 static void
-add_candidate(Weighing_t *weighing, Upstream_t *upstream, guint cached,
-              gint64 extra_us, const char *reason)
+add_candidate(CandidateSet_t *candidates, Upstream_t *upstream, guint cached,
+              gint64 penalty_us, const char *reason)
 {
-    if (weighing->count < CANDIDATES_MAX &&
-        Policy_mayUse(weighing->placement, upstream) &&
-        !has_candidate(weighing, upstream)) {
-        weighing->list[weighing->count++] =
-            (Candidate_t){upstream, cached, extra_us, reason};
+    if (candidates->count < CANDIDATES_MAX &&
+        Policy_mayUse(candidates->placement, upstream) &&
+        !has_candidate(candidates, upstream)) {
+        candidates->list[candidates->count++] =
+            (Candidate_t){upstream, cached, penalty_us, reason};
     }
 }
 
@@ -143,11 +146,11 @@
                cache_of(this, holder->upstream)->horizon_ms;
 }
 
-/* Deepest level first, so that an engine's longest prefix is the one noted. */
+/* Deepest level first, so that an engine is added with its longest prefix. */
 static void
-add_holders(PrefixPolicy_t *this, Weighing_t *weighing)
+add_holders(PrefixPolicy_t *this, CandidateSet_t *candidates)
 {
-    const Placement_t *placement = weighing->placement;
+    const Placement_t *placement = candidates->placement;
     for (guint level = placement->level_count; level > 0; level--) {
         guint count = 0;
         const Holder_t *holders = Residency_holders(
@@ -157,7 +160,7 @@
                 g_hash_table_lookup(this->upstreams, &holders[i].upstream);
             if (upstream &&
                 still_holds(this, &holders[i], upstream, placement->now_ms)) {
-                add_candidate(weighing, upstream,
+                add_candidate(candidates, upstream,
                               placement->level_tokens[level - 1], 0, "holder");
             }
         }
@@ -165,67 +168,69 @@
 }
 
 static gboolean
-on_ring(Upstream_t *upstream, void *data)
+visit_ring_engine(Upstream_t *upstream, void *data)
 {
-    Weighing_t *weighing = data;
-    if (!Policy_mayUse(weighing->placement, upstream)) {
+    CandidateSet_t *candidates = data;
+    if (!Policy_mayUse(candidates->placement, upstream)) {
         return TRUE;
     }
-    guint rank = RING_CANDIDATES - weighing->ring_wanted;
-    add_candidate(weighing, upstream, 0, rank * NEXT_HASHED_COST_US, "hashed");
-    weighing->ring_wanted--;
-    return weighing->ring_wanted > 0;
+    guint rank = RING_CANDIDATES - candidates->ring_missing;
+    add_candidate(candidates, upstream, 0, rank * NEXT_HASHED_COST_US,
+                  "hashed");
+    candidates->ring_missing--;
+    return candidates->ring_missing > 0;
 }
 
 static void
-add_hashed(Rings_t *rings, Weighing_t *weighing)
+add_hashed(Rings_t *rings, CandidateSet_t *candidates)
 {
-    const Placement_t *placement = weighing->placement;
+    const Placement_t *placement = candidates->placement;
     if (placement->level_count == 0) {
         return;
     }
-    guint level = MIN(placement->level_count - 1, SPREAD_LEVEL);
-    weighing->ring_wanted = RING_CANDIDATES;
+    guint level = MIN(placement->level_count - 1, RING_LEVEL);
+    candidates->ring_missing = RING_CANDIDATES;
     Ring_walk(rings->region, placement->levels[level], RING_POINTS_MAX,
-              on_ring, weighing);
-    if (weighing->count == 0) {
+              visit_ring_engine, candidates);
+    if (candidates->count == 0) {
         if (!rings->all) {
             rings->all = Ring_create(placement->serving, NULL);
         }
         Ring_walk(rings->all, placement->levels[level], RING_POINTS_MAX,
-                  on_ring, weighing);
+                  visit_ring_engine, candidates);
     }
 }
 
 static void
-add_by_chance(Weighing_t *weighing)
+add_random(CandidateSet_t *candidates)
 {
-    const GPtrArray *serving = weighing->placement->serving;
-    for (guint i = 0; i < CHANCE_CANDIDATES && serving->len > 0; i++) {
-        guint at = Random_below(serving->len);
-        add_candidate(weighing, g_ptr_array_index(serving, at), 0,
+    const GPtrArray *serving = candidates->placement->serving;
+    for (guint i = 0; i < RANDOM_CANDIDATES && serving->len > 0; i++) {
+        guint index = Random_below(serving->len);
+        add_candidate(candidates, g_ptr_array_index(serving, index), 0,
                       SPILL_COST_US, "spilled");
     }
 }
 
-/* Where the few that were drawn are all unusable, any usable one will do. */
+/* Adds the first usable engine if there is no candidate yet. */
 static void
-add_any(Weighing_t *weighing)
+add_any(CandidateSet_t *candidates)
 {
-    const GPtrArray *serving = weighing->placement->serving;
-    for (guint i = 0; i < serving->len && weighing->count == 0; i++) {
-        add_candidate(weighing, g_ptr_array_index(serving, i), 0, 0,
+    const GPtrArray *serving = candidates->placement->serving;
+    for (guint i = 0; i < serving->len && candidates->count == 0; i++) {
+        add_candidate(candidates, g_ptr_array_index(serving, i), 0, 0,
                       "last_left");
     }
 }
 
-/* Expected wait for an engine's prefill. */
+/* Expected time until the engine has computed the prompts queued there. */
 static gint64
 wait_us(const Upstream_t *upstream, gint64 now_ms)
 {
-    double done = (double)(now_ms - upstream->reported_at_ms) * 1000.0 /
-                  upstream->prefill_us_per_token;
-    double reported = MAX((double)upstream->reported_tokens - done, 0.0);
+    double done_tokens = (double)(now_ms - upstream->reported_at_ms) * 1000.0 /
+                         upstream->prefill_us_per_token;
+    double reported =
+        MAX((double)upstream->reported_tokens - done_tokens, 0.0);
     double tokens = reported + (double)upstream->pending_tokens;
     return (gint64)(tokens * upstream->prefill_us_per_token);
 }
@@ -234,13 +239,15 @@
 distance_us(const Placement_t *placement, const Upstream_t *upstream)
 {
     if (strcmp(placement->region, upstream->region->str) != 0) {
-        return REGION_COST_US;
+        return REGION_ROUND_TRIP_US;
     }
-    return strcmp(placement->hall, upstream->hall->str) != 0 ? HALL_COST_US
-                                                             : 0;
+    return strcmp(placement->hall, upstream->hall->str) != 0
+               ? HALL_ROUND_TRIP_US
+               : 0;
 }
 
-/* Expected time to first token, and what it costs to be apart from others. */
+/* Expected time to the first token, plus the penalty for leaving the engine
+ * that all routers prefer. */
 static gint64
 cost_us(const Placement_t *placement, const Candidate_t *candidate)
 {
@@ -249,19 +256,20 @@
                     MIN(candidate->cached, placement->prompt_tokens);
     return wait_us(upstream, placement->now_ms) +
            (gint64)(missing * upstream->prefill_us_per_token) +
-           distance_us(placement, upstream) + candidate->extra_us;
+           distance_us(placement, upstream) + candidate->penalty_us;
 }
 
 static Choice_t
-cheapest(const Weighing_t *weighing)
+find_cheapest(const CandidateSet_t *candidates)
 {
-    Choice_t choice = {.reason = "none_usable", .candidates = weighing->count};
-    gint64 least = G_MAXINT64;
-    for (guint i = 0; i < weighing->count; i++) {
-        const Candidate_t *candidate = &weighing->list[i];
-        gint64 cost = cost_us(weighing->placement, candidate);
-        if (cost < least) {
-            least = cost;
+    Choice_t choice = {.reason = "none_usable",
+                       .candidates = candidates->count};
+    gint64 min_cost = G_MAXINT64;
+    for (guint i = 0; i < candidates->count; i++) {
+        const Candidate_t *candidate = &candidates->list[i];
+        gint64 cost = cost_us(candidates->placement, candidate);
+        if (cost < min_cost) {
+            min_cost = cost;
             choice.upstream = candidate->upstream;
             choice.reason = candidate->reason;
             choice.expected_cached = candidate->cached;
@@ -274,18 +282,18 @@
 choose(Policy_t *super, const Placement_t *placement)
 {
     PrefixPolicy_t *this = (PrefixPolicy_t *)super;
-    Weighing_t weighing = {.placement = placement};
-    follow_generation(this, placement);
+    CandidateSet_t candidates = {.placement = placement};
+    drop_old_generation(this, placement);
     Rings_t *rings = rings_of(this, placement);
-    add_holders(this, &weighing);
-    add_hashed(rings, &weighing);
-    add_by_chance(&weighing);
-    add_any(&weighing);
-    return cheapest(&weighing);
+    add_holders(this, &candidates);
+    add_hashed(rings, &candidates);
+    add_random(&candidates);
+    add_any(&candidates);
+    return find_cheapest(&candidates);
 }
 
-/* The age at which a prefix was found or missed bounds what the engine's
- * cache keeps. */
+/* Learns up to which age prefixes stay in the engine's cache. A prefix counts
+ * as found where at least 90 % of its tokens were cached. */
 static void
 learn_horizon(PrefixPolicy_t *this, const Placement_t *placement,
               const Upstream_t *upstream, guint cached)
@@ -307,7 +315,7 @@
             }
             else if (age < cache->horizon_ms) {
                 cache->horizon_ms =
-                    MAX((cache->horizon_ms + age) / 2, LEAST_HORIZON_MS);
+                    MAX((cache->horizon_ms + age) / 2, HORIZON_MIN_MS);
             }
         }
     }
@@ -345,7 +353,7 @@
 {
     PrefixPolicy_t *this = g_new0(PrefixPolicy_t, 1);
     this->super.class = &class;
-    this->residency = Residency_create(RESIDENCY_PREFIXES);
+    this->residency = Residency_create(RESIDENCY_PREFIXES_DEFAULT);
     this->rings =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_rings);
     this->upstreams = g_hash_table_new(g_int64_hash, g_int64_equal);
--- a/src/PrefixPolicy.h
+++ b/src/PrefixPolicy.h
@@ -3,11 +3,12 @@
 /**
  * DOC: PrefixPolicy
  *
- * Sends a request where its first token should come soonest: to an engine
- * that should have its prefix, unless the wait there costs more than to
- * compute the prefix elsewhere. Candidates come from what engines reported
- * (Residency.h), from consistent hashing of the prefix (Ring.h), on which
- * all routers agree without a message, and from chance, for balance.
+ * Sends a request to the engine with the lowest expected time to the first
+ * token: one that should have its prefix cached, unless the wait there costs
+ * more than computing the prefix on another engine. Candidates are engines
+ * that reported the prefix (Residency.h), engines found by consistent hashing
+ * of the prefix (Ring.h), on which all routers agree without a message, and
+ * engines drawn at random, for balance.
  */
 #include "Policy.h"
 
--- a/src/PrefixSupply.c
+++ b/src/PrefixSupply.c
@@ -6,16 +6,18 @@
 #include "Clock.h"
 #include "Random.h"
 
-/* What a move takes besides its transfer: its set-up and a round trip. */
+/* Time of a move besides the transfer itself: set-up and a round trip. */
 #define MOVE_SETUP_US 6000
-/* A link between halls moves at half the speed, as the users rate theirs. */
-#define OTHER_HALL_TIMES 2
-/* Where the configuration has no sizes or link speeds: a move of some thousand
- * tokens from an engine, and from a store that serves all engines. */
-#define UNKNOWN_MOVE_US 8000
-#define UNKNOWN_STORE_US 20000
-/* The same of its memory: a prefix may have given way after so long. */
-#define UNKNOWN_ROOM_MS 10000
+/* Users rate their links between halls at half the speed of those within. */
+#define OTHER_HALL_FACTOR 2
+/* Defaults where the configuration has no sizes or link speeds: time to move
+ * some thousand tokens from an engine, and from a store, which serves all
+ * engines. */
+#define DEFAULT_MOVE_US 8000
+#define DEFAULT_STORE_US 20000
+/* Default where the configuration has no capacity of the engines' caches: a
+ * prefix that was not used for this long may have been evicted. */
+#define DEFAULT_RETENTION_MS 10000
 
 guint64
 PrefixSupply_key(const Placement_t *placement)
@@ -40,16 +42,16 @@
 }
 
 static gboolean
-keeps(const Placement_t *placement, const Upstream_t *upstream,
-      const Holder_t *holder)
+retains_prefix(const Placement_t *placement, const Upstream_t *upstream,
+               const Holder_t *holder)
 {
     if (placement->cache_tokens == 0) {
         return holder->mark.epoch == upstream->memory.epoch &&
-               placement->now_ms - holder->used_ms <= UNKNOWN_ROOM_MS;
+               placement->now_ms - holder->used_ms <= DEFAULT_RETENTION_MS;
     }
-    return EngineMemory_keeps(&upstream->memory, &holder->mark,
-                              placement->cache_tokens,
-                              Upstream_requests(upstream));
+    return EngineMemory_retains(&upstream->memory, &holder->mark,
+                                placement->cache_tokens,
+                                Upstream_requests(upstream));
 }
 
 void
@@ -64,7 +66,7 @@
     for (guint i = 0; i < count; i++) {
         Upstream_t *upstream =
             g_hash_table_lookup(by_hash, &holders[i].upstream);
-        if (upstream && keeps(placement, upstream, &holders[i])) {
+        if (upstream && retains_prefix(placement, upstream, &holders[i])) {
             out->list[out->count++] = upstream;
         }
     }
@@ -81,11 +83,11 @@
     return FALSE;
 }
 
-/* It need not take requests itself, but it must answer and have been read
- * for the same weights. */
+/* A source need not take requests, and may be leaving. It must be reachable
+ * and have the same weights as the destination. */
 static gboolean
-can_give(const Placement_t *placement, const Upstream_t *from,
-         const Upstream_t *to)
+can_supply(const Placement_t *placement, const Upstream_t *from,
+           const Upstream_t *to)
 {
     return from != to && !from->removed && !from->replaced &&
            from->ejections == 0 && !from->suspect &&
@@ -97,8 +99,8 @@
 transfer_us(double us_per_token, guint tokens, const char *from_hall,
             const char *to_hall)
 {
-    double times = strcmp(from_hall, to_hall) == 0 ? 1 : OTHER_HALL_TIMES;
-    return MOVE_SETUP_US + (gint64)(us_per_token * times * tokens);
+    double factor = strcmp(from_hall, to_hall) == 0 ? 1 : OTHER_HALL_FACTOR;
+    return MOVE_SETUP_US + (gint64)(us_per_token * factor * tokens);
 }
 
 static gint64
@@ -106,35 +108,35 @@
         const Upstream_t *to)
 {
     if (placement->move_us_per_token <= 0) {
-        return UNKNOWN_MOVE_US;
+        return DEFAULT_MOVE_US;
     }
     return transfer_us(placement->move_us_per_token, shared_tokens(placement),
                        from->hall->str, to->hall->str);
 }
 
 static guint64
-stored_key(const Placement_t *placement, const Upstream_t *to)
+store_key(const Placement_t *placement, const Upstream_t *to)
 {
     return CacheStore_prefix(PrefixSupply_key(placement), to->weights);
 }
 
 static gint64
-store_us(const Placement_t *placement, const Upstream_t *to)
+store_move_us(const Placement_t *placement, const Upstream_t *to)
 {
     const char *hall =
-        CacheStore_hall(placement->cache_store, stored_key(placement, to));
+        CacheStore_hall(placement->cache_store, store_key(placement, to));
     if (placement->store_us_per_token <= 0) {
-        return UNKNOWN_STORE_US;
+        return DEFAULT_STORE_US;
     }
     return transfer_us(placement->store_us_per_token, shared_tokens(placement),
                        hall, to->hall->str);
 }
 
-/* A move runs over both links, one after the other on each. */
+/* A move needs both links, and each link transfers one move at a time. */
 static gint64
-wait_us(const Link_t *giver, const Link_t *taker, gint64 now_us)
+link_wait_us(const Link_t *source, const Link_t *destination, gint64 now_us)
 {
-    return MAX(Link_waitUs(giver, now_us), Link_waitUs(taker, now_us));
+    return MAX(Link_waitUs(source, now_us), Link_waitUs(destination, now_us));
 }
 
 static gint64
@@ -144,26 +146,27 @@
 }
 
 static gboolean
-is_better(const Supply_t *supply, const Supply_t *than)
+is_better(const Supply_t *supply, const Supply_t *best)
 {
-    return than->kind != SUPPLY_ENGINE || cost_us(supply) < cost_us(than);
+    return best->kind != SUPPLY_ENGINE || cost_us(supply) < cost_us(best);
 }
 
 static Supply_t
-from_engine(const PrefixHolders_t *holders, const Placement_t *placement,
-            const Upstream_t *to, gint64 now_us)
+find_engine_supply(const PrefixHolders_t *holders,
+                   const Placement_t *placement, const Upstream_t *to,
+                   gint64 now_us)
 {
     Supply_t best = {.kind = SUPPLY_UNKNOWN};
     for (guint i = 0; i < holders->count; i++) {
         Upstream_t *from = holders->list[i];
-        if (!can_give(placement, from, to)) {
+        if (!can_supply(placement, from, to)) {
             continue;
         }
         Supply_t supply = {
             .kind = SUPPLY_ENGINE,
             .tokens = shared_tokens(placement),
             .move_us = move_us(placement, from, to),
-            .wait_us = wait_us(&from->link, &to->link, now_us),
+            .wait_us = link_wait_us(&from->link, &to->link, now_us),
             .source = from,
         };
         if (is_better(&supply, &best)) {
@@ -177,24 +180,25 @@
 is_stored(const Placement_t *placement, const Upstream_t *upstream)
 {
     return placement->cache_store &&
-           CacheStore_isKept(placement->cache_store,
-                             stored_key(placement, upstream),
-                             placement->now_ms);
+           CacheStore_contains(placement->cache_store,
+                               store_key(placement, upstream),
+                               placement->now_ms);
 }
 
 static Supply_t
-from_store(const Placement_t *placement, const Upstream_t *to, gint64 now_us)
+find_store_supply(const Placement_t *placement, const Upstream_t *to,
+                  gint64 now_us)
 {
     if (!is_stored(placement, to)) {
         return (Supply_t){.kind = SUPPLY_UNKNOWN};
     }
     const Link_t *link =
-        CacheStore_link(placement->cache_store, stored_key(placement, to));
+        CacheStore_link(placement->cache_store, store_key(placement, to));
     return (Supply_t){
         .kind = SUPPLY_STORE,
         .tokens = shared_tokens(placement),
-        .move_us = store_us(placement, to),
-        .wait_us = wait_us(link, &to->link, now_us),
+        .move_us = store_move_us(placement, to),
+        .wait_us = link_wait_us(link, &to->link, now_us),
     };
 }
 
@@ -202,13 +206,13 @@
 PrefixSupply_computeUs(const Placement_t *placement,
                        const Upstream_t *upstream)
 {
-    return (gint64)(PREFIX_SUPPLY_COMPUTE_TIMES * shared_tokens(placement) *
+    return (gint64)(PREFIX_SUPPLY_COMPUTE_FACTOR * shared_tokens(placement) *
                     upstream->prefill_us_per_token);
 }
 
 static Supply_t
-least(const Placement_t *placement, const Upstream_t *to,
-      const Supply_t *engine, const Supply_t *store)
+find_fastest(const Placement_t *placement, const Upstream_t *to,
+             const Supply_t *engine, const Supply_t *store)
 {
     const Supply_t *best = engine;
     if (engine->kind == SUPPLY_UNKNOWN ||
@@ -234,27 +238,27 @@
     if (PrefixSupply_isShort(placement)) {
         return (Supply_t){.kind = SUPPLY_COMPUTED};
     }
-    Supply_t engine = from_engine(holders, placement, to, now_us);
-    Supply_t store = from_store(placement, to, now_us);
-    return least(placement, to, &engine, &store);
+    Supply_t engine = find_engine_supply(holders, placement, to, now_us);
+    Supply_t store = find_store_supply(placement, to, now_us);
+    return find_fastest(placement, to, &engine, &store);
 }
 
 void
-PrefixSupply_begin(const Placement_t *placement, const Choice_t *choice)
+PrefixSupply_commit(const Placement_t *placement, const Choice_t *choice)
 {
     Upstream_t *to = choice->upstream;
     const Supply_t *supply = &choice->supply;
     gint64 now_us = Clock_nowUs();
     guint held = supply->kind == SUPPLY_HELD ? supply->tokens : 0;
-    EngineMemory_take(&to->memory, placement->prompt_tokens,
-                      placement->prompt_tokens -
-                          MIN(held, placement->prompt_tokens));
+    EngineMemory_noteSent(&to->memory, placement->prompt_tokens,
+                          placement->prompt_tokens -
+                              MIN(held, placement->prompt_tokens));
     if (supply->kind == SUPPLY_ENGINE && supply->source) {
         Link_begin(&supply->source->link, &to->link, supply->move_us, now_us);
     }
     else if (supply->kind == SUPPLY_STORE && placement->cache_store) {
         Link_begin(
-            CacheStore_link(placement->cache_store, stored_key(placement, to)),
+            CacheStore_link(placement->cache_store, store_key(placement, to)),
             &to->link, supply->move_us, now_us);
     }
 }
--- a/src/Prompt.c
+++ b/src/Prompt.c
@@ -7,7 +7,8 @@
 #include "Json.h"
 
 #define MAX_TOKENS_MAX (1 << 20)
-/* Where a text has no marked levels, one is put at each doubling from here. */
+/* A text without marked levels gets a level at this length in bytes and at
+ * each doubling of it. */
 #define FIRST_UNMARKED_LEVEL 512
 
 static gboolean
@@ -71,8 +72,8 @@
     if (count && json_integer_value(count) != 1) {
         return fail(error, "n", "1");
     }
-    const json_t *heat = json_object_get(this->body, "temperature");
-    if (heat && !json_is_number(heat)) {
+    const json_t *temperature = json_object_get(this->body, "temperature");
+    if (temperature && !json_is_number(temperature)) {
         return fail(error, "temperature", "a number");
     }
     return TRUE;
@@ -82,32 +83,32 @@
 read_marked_levels(Prompt_t *this, const char *text, const json_t *marks,
                    GError **error)
 {
-    gsize done = 0;
+    gsize hashed = 0;
     guint64 hash = 0;
     for (size_t i = 0; i < json_array_size(marks); i++) {
         const json_t *mark = json_array_get(marks, i);
         json_int_t end = json_integer_value(mark);
-        if (!json_is_integer(mark) || end <= (json_int_t)done ||
+        if (!json_is_integer(mark) || end <= (json_int_t)hashed ||
             end > (json_int_t)this->length) {
             return fail(error, "prompt_levels",
                         "rising numbers of bytes within the prompt");
         }
-        hash = XXH3_64bits_withSeed(text + done, (gsize)end - done, hash);
-        done = (gsize)end;
-        add_level(this, done, hash);
+        hash = XXH3_64bits_withSeed(text + hashed, (gsize)end - hashed, hash);
+        hashed = (gsize)end;
+        add_level(this, hashed, hash);
     }
     return TRUE;
 }
 
 static void
-guess_levels(Prompt_t *this, const char *text)
+add_default_levels(Prompt_t *this, const char *text)
 {
     guint64 hash = 0;
-    gsize done = 0;
+    gsize hashed = 0;
     for (gsize end = FIRST_UNMARKED_LEVEL; end < this->length; end *= 2) {
-        hash = XXH3_64bits_withSeed(text + done, end - done, hash);
-        done = end;
-        add_level(this, done, hash);
+        hash = XXH3_64bits_withSeed(text + hashed, end - hashed, hash);
+        hashed = end;
+        add_level(this, hashed, hash);
     }
 }
 
@@ -122,7 +123,7 @@
     }
     const json_t *marks = json_object_get(this->body, "prompt_levels");
     if (!marks) {
-        guess_levels(this, text);
+        add_default_levels(this, text);
         return TRUE;
     }
     if (!json_is_array(marks)) {
@@ -131,7 +132,7 @@
     return read_marked_levels(this, text, marks, error);
 }
 
-/* Each message ends a level, but for the last, which is the question. */
+/* Each message ends a level, except the last one, which is the question. */
 static gboolean
 read_messages(Prompt_t *this, GError **error)
 {
@@ -160,7 +161,7 @@
 }
 
 static gboolean
-read_all(Prompt_t *this, GError **error)
+read_fields(Prompt_t *this, GError **error)
 {
     return read_model(this, error) && read_max_tokens(this, error) &&
            read_flags(this, error) &&
@@ -181,7 +182,7 @@
     this->body = body;
     this->model = g_string_new(NULL);
     this->adapter = g_string_new(NULL);
-    if (!read_all(this, error)) {
+    if (!read_fields(this, error)) {
         Prompt_destroy(this);
         return NULL;
     }
--- a/src/Prompt.h
+++ b/src/Prompt.h
@@ -3,24 +3,25 @@
 /**
  * DOC: Prompt
  *
- * A caller's completion request, checked, with the identity of its prefix at
- * each level: what a customer's requests share, what a member's or match's
- * requests share, and so on down to the question.
+ * A caller's completion request, validated, with the identity of its prefix at
+ * each level: the part that all requests of a customer share, the part that
+ * the requests of a member or a match share, and so on down to the question.
  */
 #include <glib.h>
 #include <jansson.h>
 
-/** Most levels that are told apart; deeper ones count as the question */
+/** Most levels that are recorded; deeper ones count as the question */
 #define PROMPT_LEVELS_MAX 16
-/** Answer tokens where the caller names no number */
+/** Limit of answer tokens where the caller sets none */
 #define PROMPT_DEFAULT_TOKENS 256
-/** Bytes of text that count as one token before an engine has counted */
+/** Bytes of text that are estimated as one token until an engine has counted
+ * them */
 #define PROMPT_BYTES_PER_TOKEN 4
 
 /**
- * struct PromptLevel_t - a prefix of the prompt that others may share
- * @end: bytes of the prompt up to its end
- * @hash: identity of all text up to @end, without the salt
+ * struct PromptLevel_t - a prefix of the prompt that other prompts may share
+ * @end: length of the prefix in bytes
+ * @hash: identity of the text up to @end, without the salt
  */
 typedef struct {
     gsize end;
@@ -28,16 +29,16 @@
 } PromptLevel_t;
 
 /**
- * struct Prompt_t - a checked request
- * @chat: asked as messages rather than as one text
- * @stream: the caller wants events
- * @body: the whole request
+ * struct Prompt_t - a validated request
+ * @chat: the prompt is a list of messages rather than one text
+ * @stream: the caller wants a stream of events
+ * @body: the parsed request
  * @model: name of the model
  * @adapter: name of the adapter, may be empty
- * @max_tokens: longest answer
- * @length: bytes of the prompt
- * @levels: from the widest shared prefix to the narrowest
- * @level_count: how many
+ * @max_tokens: limit of answer tokens
+ * @length: length of the prompt in bytes
+ * @levels: from the shortest prefix to the longest
+ * @level_count: number of levels
  */
 typedef struct {
     gboolean chat;
@@ -52,11 +53,12 @@
 } Prompt_t;
 
 /**
- * Prompt_create() - check a request
- * @chat: whether it came as /v1/chat/completions
- * @data: its body
- * @bad_json: set to whether the body is no JSON object at all
- * @error: WT_ERROR_BAD_BODY with the field at fault
+ * Prompt_create() - parse and validate a request
+ * @chat: whether it was sent to /v1/chat/completions
+ * @data: body of the request
+ * @length: length of the body in bytes
+ * @bad_json: set to whether the body is not a JSON object
+ * @error: WT_ERROR_BAD_BODY with the invalid field
  *
  * Return: the prompt, or NULL
  */
--- a/src/RelayDispatch.c
+++ b/src/RelayDispatch.c
@@ -76,7 +76,8 @@
         .expected_us = destination->choice.cost_us,
         .own_us = destination->choice.own_us,
         .objective_ms = this->route->objective_ms,
-        .spread_us = Forecast_spreadUs(context->forecast, super->target->str),
+        .spread_us = EstimateError_spreadUs(context->estimate_error,
+                                            super->target->str),
         .left_ms = super->deadline_ms - Clock_nowMs(),
     };
     LoadShedDecision_t decision = LoadShed_decide(&shed_input);
--- a/src/RelayFeedback.c
+++ b/src/RelayFeedback.c
@@ -27,9 +27,9 @@
         MIN(destination->choice.expected_cached, prompt_tokens);
     this->upstream->pending_tokens += this->missing_tokens;
     this->first_event_us = 0;
-    FirstToken_clear(&this->first_token);
-    FirstToken_expect(&this->first_token, &destination->placement,
-                      &destination->choice);
+    FirstTokenEstimate_clear(&this->first_token);
+    FirstTokenEstimate_expect(&this->first_token, &destination->placement,
+                              &destination->choice);
 }
 
 void
@@ -39,7 +39,7 @@
         this->upstream->pending_tokens -= this->missing_tokens;
     }
     this->missing_tokens = 0;
-    FirstToken_clear(&this->first_token);
+    FirstTokenEstimate_clear(&this->first_token);
 }
 
 /* An engine saves a prefix once it has computed it, which is before the first
@@ -92,7 +92,7 @@
     EngineSpeed_t *speed = find_speed(this);
     EngineSpeed_note(speed, waited_us - UPSTREAM_LEAST_FIRST_US,
                      this->missing_tokens);
-    if (EngineSpeed_hasChanged(speed)) {
+    if (EngineSpeed_consumeChange(speed)) {
         apply_speed(this, speed);
     }
 }
@@ -115,11 +115,12 @@
 void
 RelayFeedback_noteFirstEvent(RelayFeedback_t *this, gint64 waited_us)
 {
-    FirstToken_learn(&this->first_token, waited_us, Clock_nowMs());
+    FirstTokenEstimate_learn(&this->first_token, waited_us, Clock_nowMs());
     note_speed(this, waited_us);
     if (this->placement.level_count > 0) {
-        Forecast_noteFirst(this->context->forecast, this->placement.target,
-                           this->first_token.expected_us, waited_us);
+        EstimateError_noteFirst(this->context->estimate_error,
+                                this->placement.target,
+                                this->first_token.expected_us, waited_us);
     }
     this->first_event_us = Clock_nowUs();
     RelayFeedback_clearPending(this);
--- a/src/RelayFeedback.h
+++ b/src/RelayFeedback.h
@@ -9,7 +9,7 @@
  * attempt's prompt tokens as pending at the upstream until the first event
  * shows that they are computed.
  */
-#include "FirstToken.h"
+#include "FirstTokenEstimate.h"
 #include "Recovery.h"
 #include "RelayForm.h"
 #include "RelayPlacer.h"
@@ -31,7 +31,7 @@
     Upstream_t *upstream;
     NoticeOrigin_t origin;
     Placement_t placement;
-    FirstToken_t first_token;
+    FirstTokenEstimate_t first_token;
     guint missing_tokens;
     guint64 saved_prefix;
     gint64 first_event_us;
--- a/src/RelayMove.c
+++ b/src/RelayMove.c
@@ -301,9 +301,9 @@
 {
     const Exchange_t *super = &exchange->super;
     *input = RelayExchange_placementInput(exchange);
-    input->terms = (PlacementTerms_t){
+    input->terms = (PlacementConstraints_t){
         .avoid = super->upstream,
-        .spares_limited = TRUE,
+        .excludes_limited = TRUE,
     };
     RelayPlacer_choose(super->context, input, destination);
 }
--- a/src/RelayParts.c
+++ b/src/RelayParts.c
@@ -219,8 +219,8 @@
     const RelayParts_t *this = owner;
     gint64 now_ms = Clock_nowMs();
     if (hint->kind == HINT_SAVED) {
-        return CacheStore_take(this->context->cache_store, hint->subject,
-                               now_ms);
+        return CacheStore_receiveSaved(this->context->cache_store,
+                                       hint->subject, now_ms);
     }
     Upstream_t *upstream =
         UpstreamSet_findHash(this->context->upstreams, hint->subject);
@@ -261,7 +261,7 @@
     this->hints =
         HintFlood_create(context->base, context->membership, apply_hint, this);
     context->cache_store = CacheStore_create(this->hints);
-    context->forecast = Forecast_create();
+    context->estimate_error = EstimateError_create();
     context->pauses = PauseGuard_create();
     context->run_times = RunTimes_create();
     context->speeds =
@@ -327,7 +327,7 @@
     }
     CacheStore_destroy(this->context->cache_store);
     g_hash_table_destroy(this->context->speeds);
-    Forecast_destroy(this->context->forecast);
+    EstimateError_destroy(this->context->estimate_error);
     PauseGuard_destroy(this->context->pauses);
     RunTimes_destroy(this->context->run_times);
     HintFlood_destroy(this->hints);
--- a/src/RelayPlacer.c
+++ b/src/RelayPlacer.c
@@ -98,10 +98,10 @@
     if (!model) {
         return;
     }
-    placement->newest = NamedWeights_find(context->weights, model);
+    placement->newest_weights = NamedWeights_find(context->weights, model);
     placement->newest_age_ms =
         NamedWeights_ageMs(context->weights, model, placement->now_ms);
-    placement->least_weights = NamedWeights_due(
+    placement->min_weights_version = NamedWeights_due(
         context->weights, model,
         context->settings->relay.weights_limit_ms - WEIGHTS_PLACE_MARGIN_MS,
         placement->now_ms);
@@ -147,7 +147,7 @@
     const RouteConfig_t *config = RouteTable_config(context->routes);
     guint count = config ? config->kv_stores->len : 0;
     return count > 0 ? g_ptr_array_index(config->kv_stores,
-                                         CacheStore_copy(prefix, count))
+                                         CacheStore_copyIndex(prefix, count))
                      : NULL;
 }
 
@@ -159,7 +159,7 @@
 {
     CacheStore_t *cache = context->cache_store;
     gint64 now_ms = out->placement.now_ms;
-    if (!CacheStore_isKept(cache, out->saved_prefix, now_ms) &&
+    if (!CacheStore_contains(cache, out->saved_prefix, now_ms) &&
         CacheStore_beginSave(cache, out->saved_prefix, now_ms)) {
         write_address(out->save_to, &store->address);
     }
@@ -221,11 +221,11 @@
     out->placement.run_us =
         RunTimes_expectedUs(context->run_times, input->route->name->str);
     if (input->route->objective_ms > 0) {
-        out->placement.latest_us =
-            MAX(LoadShed_latestUs(
-                    input->route->objective_ms,
-                    Forecast_spreadUs(context->forecast, input->service)),
-                1);
+        out->placement.latest_us = MAX(
+            LoadShed_latestUs(input->route->objective_ms,
+                              EstimateError_spreadUs(context->estimate_error,
+                                                     input->service)),
+            1);
     }
     out->choice = Policy_choose(context->policy, &out->placement);
 }
@@ -248,7 +248,7 @@
                 .now_ms = Clock_nowMs(),
             },
     };
-    Placement_setTerms(&out->placement, &input->terms);
+    Placement_setConstraints(&out->placement, &input->terms);
     if (input->route->by_prefix) {
         choose_by_prefix(context, input, out);
     }
@@ -267,7 +267,7 @@
             make_salt_input(input, out->choice.upstream->weights->str);
         Salt_make(&salt_input, context->settings->keys.salt, out->salt);
         select_caches(context, out);
-        Policy_begin(context->policy, &out->placement, &out->choice);
+        Policy_commit(context->policy, &out->placement, &out->choice);
         PauseGuard_noteWork(context->pauses,
                             PrefixSupply_isShort(&out->placement),
                             out->choice.own_us);
--- a/src/RelayPlacer.h
+++ b/src/RelayPlacer.h
@@ -29,7 +29,7 @@
     const char *service;
     const RouteCustomer_t *customer;
     const RelayRequest_t *request;
-    PlacementTerms_t terms;
+    PlacementConstraints_t terms;
 } RelayPlacementInput_t;
 
 /**
--- a/src/RequestDigest.c
+++ b/src/RequestDigest.c
@@ -5,14 +5,14 @@
 #include <xxhash.h>
 
 static void
-begin(crypto_generichash_state *state, GBytes *key, gsize size)
+init_hash(crypto_generichash_state *state, GBytes *key, gsize size)
 {
     gsize key_size = 0;
     const guint8 *bytes = g_bytes_get_data(key, &key_size);
     crypto_generichash_init(state, bytes, key_size, size);
 }
 
-/* The NUL goes into the hash, so that no two texts run into each other. */
+/* Hashes the NUL as well, so that the boundary between two texts counts. */
 static void
 add_text(crypto_generichash_state *state, const char *text)
 {
@@ -20,31 +20,32 @@
 }
 
 guint64
-RequestDigest_owner(const char *customer, GBytes *key)
+RequestDigest_hashCustomer(const char *customer, GBytes *key)
 {
     guint8 bytes[crypto_generichash_BYTES_MIN];
-    guint64 owner = 0;
+    guint64 hash = 0;
     crypto_generichash_state state;
-    begin(&state, key, sizeof(bytes));
+    init_hash(&state, key, sizeof(bytes));
     add_text(&state, customer);
     crypto_generichash_final(&state, bytes, sizeof(bytes));
-    memcpy(&owner, bytes, sizeof(owner));
-    return owner;
+    memcpy(&hash, bytes, sizeof(hash));
+    return hash;
 }
 
-/* Bodies are long and each is hashed: a fast hash takes them, its seed made of
- * the key, and the keyed one what it gives. Two bodies that the fast one takes
- * for the same are the same customer's own matter. */
+/* Bodies are long and every one is hashed, so that a fast hash seeded from the
+ * key reduces the body and the keyed hash covers its result. A collision of
+ * the fast hash concerns only bodies of the same customer. */
 static void
 add_body(crypto_generichash_state *state, GBytes *body, GBytes *key)
 {
     gsize size = 0;
     const void *bytes = g_bytes_get_data(body, &size);
-    guint64 seed = RequestDigest_owner("", key);
+    guint64 seed = RequestDigest_hashCustomer("", key);
     XXH128_hash_t hash = XXH3_128bits_withSeed(bytes, size, seed);
-    XXH128_canonical_t written;
-    XXH128_canonicalFromHash(&written, hash);
-    crypto_generichash_update(state, written.digest, sizeof(written.digest));
+    XXH128_canonical_t canonical;
+    XXH128_canonicalFromHash(&canonical, hash);
+    crypto_generichash_update(state, canonical.digest,
+                              sizeof(canonical.digest));
 }
 
 RequestDigest_t
@@ -52,7 +53,7 @@
 {
     RequestDigest_t digest;
     crypto_generichash_state state;
-    begin(&state, key, sizeof(digest.bytes));
+    init_hash(&state, key, sizeof(digest.bytes));
     add_text(&state, identity->customer);
     add_text(&state, identity->path);
     add_body(&state, identity->body, key);
--- a/src/RequestDigest.h
+++ b/src/RequestDigest.h
@@ -3,17 +3,17 @@
 /**
  * DOC: RequestDigest
  *
- * By what a request is known again that comes under another id, at another
- * router: a hash of its customer, path and body under the routers' key. Its
- * id, its headers and its deadline are no part of it. Without the key nobody
- * can make a request that is taken for another one, nor tell from a digest in
- * a log what was asked.
+ * Identifies a request that is sent again under another id or to another
+ * router: a hash of its customer, path and body, keyed with the key that the
+ * routers share. The id, the headers and the deadline are not part of it.
+ * Without the key nobody can forge a request with the digest of another one,
+ * or infer the request from a digest in a log.
  */
 #include <glib.h>
 
-/** Bytes of a digest: 128 bits, more than can be met by chance */
+/** Bytes of a digest: 128 bits make an accidental collision implausible */
 #define REQUEST_DIGEST_BYTES 16
-/** Characters of a digest as text */
+/** Characters of a digest in hex */
 #define REQUEST_DIGEST_TEXT (2 * REQUEST_DIGEST_BYTES)
 
 /** struct RequestDigest_t - one digest */
@@ -22,10 +22,10 @@
 } RequestDigest_t;
 
 /**
- * struct RequestIdentity_t - what it is made of
- * @customer: whose request it is; empty for none
- * @path: with its query
- * @body: its bytes
+ * struct RequestIdentity_t - input of a digest
+ * @customer: customer who sent the request; empty for none
+ * @path: path with the query
+ * @body: body of the request
  */
 typedef struct {
     const char *customer;
@@ -33,12 +33,12 @@
     GBytes *body;
 } RequestIdentity_t;
 
-/** RequestDigest_make() - the digest under a key of 16 to 64 bytes */
+/** RequestDigest_make() - compute a digest under a key of 16 to 64 bytes */
 RequestDigest_t RequestDigest_make(const RequestIdentity_t *identity,
                                    GBytes *key);
 
-/** RequestDigest_owner() - the customer alone, in the same way */
-guint64 RequestDigest_owner(const char *customer, GBytes *key);
+/** RequestDigest_hashCustomer() - keyed hash of the customer alone */
+guint64 RequestDigest_hashCustomer(const char *customer, GBytes *key);
 
 /** RequestDigest_hash() - for tables whose keys are digests */
 guint RequestDigest_hash(gconstpointer digest);
@@ -46,11 +46,12 @@
 /** RequestDigest_equal() - for tables whose keys are digests */
 gboolean RequestDigest_equal(gconstpointer left, gconstpointer right);
 
-/** RequestDigest_write() - as hex digits */
+/** RequestDigest_write() - write as hex digits and a NUL */
 void RequestDigest_write(const RequestDigest_t *this,
                          char out[REQUEST_DIGEST_TEXT + 1]);
 
-/** RequestDigest_read() - from hex digits; FALSE where it is none */
+/** RequestDigest_read() - parse hex digits; FALSE where the text is not a
+ * digest */
 gboolean RequestDigest_read(const char *text, RequestDigest_t *out);
 
 #endif
--- a/src/Residency.c
+++ b/src/Residency.c
@@ -4,25 +4,25 @@
 
 typedef struct {
     guint64 prefix;
-    Holder_t holders[RESIDENCY_HOLDERS];
+    Holder_t holders[RESIDENCY_HOLDERS_MAX];
     guint count;
-    GList link; /* in the order of use */
+    GList link; /* in Residency.order */
 } Entry_t;
 
 struct Residency {
     GHashTable *entries; /* &prefix -> Entry_t */
     GQueue order;        /* Entry_t, used longest ago first */
-    guint most;
+    guint prefixes_max;
 };
 
 Residency_t *
-Residency_create(guint most)
+Residency_create(guint prefixes_max)
 {
     Residency_t *this = g_new0(Residency_t, 1);
     this->entries =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     g_queue_init(&this->order);
-    this->most = most;
+    this->prefixes_max = prefixes_max;
     return this;
 }
 
@@ -34,9 +34,9 @@
 }
 
 static void
-make_room(Residency_t *this)
+evict_if_full(Residency_t *this)
 {
-    if (g_hash_table_size(this->entries) < this->most) {
+    if (g_hash_table_size(this->entries) < this->prefixes_max) {
         return;
     }
     Entry_t *oldest = g_queue_peek_head(&this->order);
@@ -45,14 +45,14 @@
 }
 
 static Entry_t *
-find_or_make(Residency_t *this, guint64 prefix)
+find_or_create_entry(Residency_t *this, guint64 prefix)
 {
     Entry_t *entry = g_hash_table_lookup(this->entries, &prefix);
     if (entry) {
         g_queue_unlink(&this->order, &entry->link);
     }
     else {
-        make_room(this);
+        evict_if_full(this);
         entry = g_new0(Entry_t, 1);
         entry->prefix = prefix;
         entry->link.data = entry;
@@ -62,9 +62,10 @@
     return entry;
 }
 
-/* The place of an engine, or else the one to be overwritten. */
+/* The entry's holder for an engine; else a free one, or the holder used
+ * longest ago, which the caller overwrites. */
 static Holder_t *
-place_of(Entry_t *entry, guint64 upstream)
+find_or_replace_holder(Entry_t *entry, guint64 upstream)
 {
     Holder_t *oldest = &entry->holders[0];
     for (guint i = 0; i < entry->count; i++) {
@@ -76,7 +77,7 @@
             oldest = holder;
         }
     }
-    if (entry->count < RESIDENCY_HOLDERS) {
+    if (entry->count < RESIDENCY_HOLDERS_MAX) {
         return &entry->holders[entry->count++];
     }
     return oldest;
@@ -86,7 +87,8 @@
 Residency_note(Residency_t *this, guint64 prefix, const Upstream_t *upstream,
                gint64 now_ms)
 {
-    Holder_t *holder = place_of(find_or_make(this, prefix), upstream->hash);
+    Holder_t *holder = find_or_replace_holder(
+        find_or_create_entry(this, prefix), upstream->hash);
     *holder = (Holder_t){upstream->hash, upstream->incarnation, now_ms,
                          EngineMemory_mark(&upstream->memory)};
 }
--- a/src/Ring.c
+++ b/src/Ring.c
@@ -5,7 +5,7 @@
 #include <xxhash.h>
 
 typedef struct {
-    guint64 place;
+    guint64 position;
     Upstream_t *upstream;
 } Point_t;
 
@@ -19,8 +19,8 @@
 {
     const Point_t *left = a;
     const Point_t *right = b;
-    if (left->place != right->place) {
-        return left->place < right->place ? -1 : 1;
+    if (left->position != right->position) {
+        return left->position < right->position ? -1 : 1;
     }
     return strcmp(left->upstream->name->str, right->upstream->name->str);
 }
@@ -36,9 +36,9 @@
             continue;
         }
         for (guint64 copy = 0; copy < RING_POINTS; copy++) {
-            guint64 place =
+            guint64 position =
                 XXH3_64bits_withSeed(&copy, sizeof(copy), upstream->hash);
-            this->points[this->count++] = (Point_t){place, upstream};
+            this->points[this->count++] = (Point_t){position, upstream};
         }
     }
     qsort(this->points, this->count, sizeof(Point_t), compare_points);
@@ -53,13 +53,13 @@
 }
 
 static guint
-first_at_or_after(const Ring_t *this, guint64 key)
+find_point_at_or_after(const Ring_t *this, guint64 key)
 {
     guint low = 0;
     guint high = this->count;
     while (low < high) {
         guint middle = low + (high - low) / 2;
-        if (this->points[middle].place < key) {
+        if (this->points[middle].position < key) {
             low = middle + 1;
         }
         else {
@@ -73,10 +73,10 @@
 Ring_walk(const Ring_t *this, guint64 key, guint points_max, RingVisit_t visit,
           void *data)
 {
-    guint at = first_at_or_after(this, key);
-    guint most = MIN(points_max, this->count);
-    for (guint i = 0; i < most; i++) {
-        if (!visit(this->points[(at + i) % this->count].upstream, data)) {
+    guint first = find_point_at_or_after(this, key);
+    guint visits_max = MIN(points_max, this->count);
+    for (guint i = 0; i < visits_max; i++) {
+        if (!visit(this->points[(first + i) % this->count].upstream, data)) {
             return;
         }
     }
--- a/src/Ring.h
+++ b/src/Ring.h
@@ -3,9 +3,10 @@
 /**
  * DOC: Ring
  *
- * Consistent hashing of keys to upstreams: each router with the same
- * upstreams finds the same ones for a key without a message, in logarithmic
- * time. A change of one upstream moves only the keys that it had or gets.
+ * Consistent hashing of keys to upstreams: routers with the same upstreams
+ * find the same ones for a key without exchanging messages, in logarithmic
+ * time. Adding or removing an upstream moves only the keys that it gets or
+ * had.
  */
 #include <glib.h>
 
@@ -20,7 +21,7 @@
 /**
  * Ring_create() - put upstreams on a ring
  * @upstreams: Upstream_t *
- * @region: only those of this region; NULL for all
+ * @region: include only upstreams of this region; NULL for all
  */
 Ring_t *Ring_create(const GPtrArray *upstreams, const char *region);
 
@@ -28,7 +29,7 @@
 void Ring_destroy(Ring_t *this);
 
 /**
- * RingVisit_t - called for each upstream in the key's order
+ * RingVisit_t - called for each point of the ring, in the key's order
  *
  * Return: FALSE to stop
  */
@@ -36,7 +37,7 @@
 
 /**
  * Ring_walk() - visit upstreams in a key's order
- * @points_max: most points that are looked at; an upstream may come twice
+ * @points_max: most points to visit; an upstream may be visited repeatedly
  */
 void Ring_walk(const Ring_t *this, guint64 key, guint points_max,
                RingVisit_t visit, void *data);
--- a/src/RoundRobinPolicy.h
+++ b/src/RoundRobinPolicy.h
@@ -3,11 +3,12 @@
 /**
  * DOC: RoundRobinPolicy
  *
- * Each usable upstream in turn. A baseline for measurements.
+ * Chooses the usable upstreams one after the other. A baseline for
+ * measurements.
  */
 #include "Policy.h"
 
-/** RoundRobinPolicy_create() - start with the first */
+/** RoundRobinPolicy_create() - the first choice is the first upstream */
 Policy_t *RoundRobinPolicy_create(void);
 
 #endif
--- a/src/RunTimes.c
+++ b/src/RunTimes.c
@@ -1,10 +1,10 @@
 #include "RunTimes.h"
 
-/* Share of a new observation in the mean: some ten streams count. */
-#define GAIN 0.1
+/* Weight of a new observation in the mean, which covers about ten streams. */
+#define MEAN_GAIN 0.1
 
 struct RunTimes {
-    GHashTable *means; /* route -> double *, us */
+    GHashTable *means; /* route -> double *, in us */
 };
 
 RunTimes_t *
@@ -32,7 +32,7 @@
         *mean = (double)run_us;
         g_hash_table_insert(this->means, g_strdup(route), mean);
     }
-    *mean += ((double)run_us - *mean) * GAIN;
+    *mean += ((double)run_us - *mean) * MEAN_GAIN;
 }
 
 gint64
--- a/src/ServiceExchange.c
+++ b/src/ServiceExchange.c
@@ -232,8 +232,8 @@
 choose(Exchange_t *super, Placement_t *placement)
 {
     Policy_t *policy = super->context->service_policy;
-    PlacementTerms_t terms = ExchangeCapacity_terms(super);
-    Placement_setTerms(placement, &terms);
+    PlacementConstraints_t terms = ExchangeCapacity_terms(super);
+    Placement_setConstraints(placement, &terms);
     Choice_t choice = Policy_choose(policy, placement);
     if (choice.upstream || !terms.permitted) {
         return choice;
--- a/src/StreamExchange.c
+++ b/src/StreamExchange.c
@@ -361,7 +361,7 @@
 }
 
 static void
-start_new_stream(StreamExchange_t *this, const Placing_t *placing)
+start_new_stream(StreamExchange_t *this, const PlacerResult_t *placing)
 {
     const Choice_t *choice = &placing->choice;
     EngineOrder_t order = {
@@ -386,10 +386,10 @@
 
 /* FALSE where the model is no longer declared. */
 static gboolean
-choose(StreamExchange_t *this, Placing_t *placing)
+choose(StreamExchange_t *this, PlacerResult_t *placing)
 {
     Exchange_t *super = &this->super;
-    PlacementTerms_t terms = ExchangeCapacity_terms(super);
+    PlacementConstraints_t terms = ExchangeCapacity_terms(super);
     gboolean is_declared = Placer_place(super->context, this->prompt,
                                         super->customer->str, &terms, placing);
     if (!is_declared || placing->choice.upstream || !terms.permitted) {
@@ -406,7 +406,7 @@
 {
     StreamExchange_t *this = (StreamExchange_t *)super;
     RunState_t run = Exchange_runState(super);
-    Placing_t placing;
+    PlacerResult_t placing;
     if (this->wants_rest) {
         resume(super);
     }
--- a/src/Tickets.c
+++ b/src/Tickets.c
@@ -16,7 +16,7 @@
     guint64 prefix;
     guint prefix_tokens;
     guint tokens; /* prompt tokens not computed yet; 0 once begun */
-    FirstToken_t first_token;
+    FirstTokenEstimate_t first_token;
     gboolean begun;
     gint64 begun_ms; /* 0 unless @begun */
     gint64 placed_ms;
@@ -35,7 +35,7 @@
     Ticket_t *ticket = data;
     remove_tokens(ticket);
     ticket->upstream->ticket_requests--;
-    FirstToken_clear(&ticket->first_token);
+    FirstTokenEstimate_clear(&ticket->first_token);
     Upstream_unref(ticket->upstream);
     g_free(ticket);
 }
@@ -100,7 +100,7 @@
     ticket->tokens = placement->prompt_tokens -
                      MIN(choice->expected_cached, placement->prompt_tokens);
     ticket->placed_ms = placement->now_ms;
-    FirstToken_expect(&ticket->first_token, placement, choice);
+    FirstTokenEstimate_expect(&ticket->first_token, placement, choice);
     ticket->upstream->ticket_tokens += ticket->tokens;
     ticket->upstream->ticket_requests++;
     g_hash_table_insert(this->by_id, &ticket->id, ticket);
@@ -123,7 +123,7 @@
     ticket->begun = TRUE;
     ticket->begun_ms = now_ms;
     remove_tokens(ticket);
-    FirstToken_learn(&ticket->first_token, waited_us, now_ms);
+    FirstTokenEstimate_learn(&ticket->first_token, waited_us, now_ms);
     Policy_learnPrefix(policy, ticket->prefix, ticket->prefix_tokens,
                        ticket->upstream, now_ms);
 }
--- a/src/Tickets.h
+++ b/src/Tickets.h
@@ -10,7 +10,7 @@
  */
 #include <event2/event.h>
 
-#include "FirstToken.h"
+#include "FirstTokenEstimate.h"
 
 /** Lifetime of a ticket whose first token has not been reported, in ms: longer
  * than callers wait for most answers */
--- a/src/UpstreamLimits.c
+++ b/src/UpstreamLimits.c
@@ -148,7 +148,7 @@
  * come back. They are spread over the time in which that part takes them. */
 guint
 UpstreamLimits_retryAfterMs(UpstreamLimits_t *this, const char *target,
-                            const LimitedRoom_t *room)
+                            const LimitedCapacity_t *room)
 {
     gint64 now_ms = Clock_nowMs();
     TokenBucket_t *bucket = bucket_of(this, target);
--- a/src/UpstreamLimits.h
+++ b/src/UpstreamLimits.h
@@ -55,6 +55,6 @@
  * Behind those that were refused before, as they will be back as well.
  */
 guint UpstreamLimits_retryAfterMs(UpstreamLimits_t *this, const char *target,
-                                  const LimitedRoom_t *room);
+                                  const LimitedCapacity_t *room);
 
 #endif
--- a/tests/test_CacheStore.c
+++ b/tests/test_CacheStore.c
@@ -17,26 +17,24 @@
     return store;
 }
 
-/* Symptom: shared prefixes were computed anew although they were kept beside
- * the engines. Sequence: a store has several copies, and a dispatcher has many
- * prefixes taken from them. Cause: one link was counted for all copies, so
- * that a move seemed to take longer than to compute. Settled by: a replay of
- * a load whose read tokens grew with fewer copies. */
-START_TEST(each_copy_has_a_link_of_its_own)
+/* Regression: shared prefixes were computed again although the store held
+ * them. All copies of a store counted as one link, so that with many prefixes
+ * fetched from several copies a move seemed slower than computing. */
+START_TEST(each_copy_has_its_own_link)
 {
     CacheStore_t *store = create(3);
-    Link_t taker = {0};
-    Link_begin(CacheStore_link(store, 3), &taker, 50000, NOW_US);
+    Link_t destination = {0};
+    Link_begin(CacheStore_link(store, 3), &destination, 50000, NOW_US);
     ck_assert_int_eq(Link_waitUs(CacheStore_link(store, 3), NOW_US), 50000);
     ck_assert_int_eq(Link_waitUs(CacheStore_link(store, 6), NOW_US), 50000);
     ck_assert_int_eq(Link_waitUs(CacheStore_link(store, 4), NOW_US), 0);
-    ck_assert_int_eq(CacheStore_ownUs(store, NOW_US), 50000);
+    ck_assert_int_eq(CacheStore_localUs(store, NOW_US), 50000);
     ck_assert_str_eq(CacheStore_hall(store, 4), "b");
     CacheStore_destroy(store);
 }
 END_TEST
 
-START_TEST(what_others_take_is_shared_out_among_the_copies)
+START_TEST(moves_of_other_routers_are_split_among_the_copies)
 {
     CacheStore_t *store = create(3);
     CacheStore_setOthersUs(store, 90000);
@@ -46,22 +44,22 @@
 }
 END_TEST
 
-START_TEST(copies_may_come_and_go_under_requests)
+START_TEST(links_in_use_survive_a_change_of_copies)
 {
     CacheStore_t *store = create(3);
-    Link_t *held = CacheStore_link(store, 2);
-    g_autoptr(GPtrArray) none = g_ptr_array_new();
-    CacheStore_setCopies(store, none);
+    Link_t *removed = CacheStore_link(store, 2);
+    g_autoptr(GPtrArray) halls = g_ptr_array_new();
+    CacheStore_setCopies(store, halls);
     ck_assert_ptr_eq(CacheStore_link(store, 1), CacheStore_link(store, 2));
-    Link_noteExcess(held, 1000, NOW_US / 1000);
-    g_ptr_array_add(none, (gpointer) "x");
-    g_ptr_array_add(none, (gpointer) "y");
-    CacheStore_setCopies(store, none);
+    Link_noteExcess(removed, 1000, NOW_US / 1000);
+    g_ptr_array_add(halls, (gpointer) "x");
+    g_ptr_array_add(halls, (gpointer) "y");
+    CacheStore_setCopies(store, halls);
     ck_assert_str_eq(CacheStore_hall(store, 1), "y");
     CacheStore_destroy(store);
 }
 END_TEST
 
-TESTING_MAIN("CacheStore", each_copy_has_a_link_of_its_own,
-             what_others_take_is_shared_out_among_the_copies,
-             copies_may_come_and_go_under_requests)
+TESTING_MAIN("CacheStore", each_copy_has_its_own_link,
+             moves_of_other_routers_are_split_among_the_copies,
+             links_in_use_survive_a_change_of_copies)
--- a/tests/test_EngineMemory.c
+++ b/tests/test_EngineMemory.c
@@ -2,52 +2,53 @@
 
 #include "EngineMemory.h"
 
-#define ROOM 100000
+#define CAPACITY_TOKENS 100000
 
-START_TEST(a_prefix_gives_way_when_so_much_came_after_it)
+START_TEST(a_prefix_is_evicted_when_newer_tokens_exceed_the_capacity)
 {
     EngineMemory_t memory = {0};
     MemoryMark_t mark = EngineMemory_mark(&memory);
-    EngineMemory_takeTold(&memory, ROOM);
-    ck_assert(EngineMemory_keeps(&memory, &mark, ROOM, 0));
-    EngineMemory_takeTold(&memory, 1);
-    ck_assert(!EngineMemory_keeps(&memory, &mark, ROOM, 0));
+    EngineMemory_notePeerTokens(&memory, CAPACITY_TOKENS);
+    ck_assert(EngineMemory_retains(&memory, &mark, CAPACITY_TOKENS, 0));
+    EngineMemory_notePeerTokens(&memory, 1);
+    ck_assert(!EngineMemory_retains(&memory, &mark, CAPACITY_TOKENS, 0));
     mark = EngineMemory_mark(&memory);
-    ck_assert(EngineMemory_keeps(&memory, &mark, ROOM, 0));
+    ck_assert(EngineMemory_retains(&memory, &mark, CAPACITY_TOKENS, 0));
 }
 END_TEST
 
-START_TEST(what_runs_takes_room_as_well)
+START_TEST(running_requests_use_capacity)
 {
     EngineMemory_t memory = {0};
     for (guint i = 0; i < 100; i++) {
-        EngineMemory_take(&memory, 5000, 0);
+        EngineMemory_noteSent(&memory, 5000, 0);
     }
     MemoryMark_t mark = EngineMemory_mark(&memory);
-    ck_assert(EngineMemory_keeps(&memory, &mark, ROOM, 19));
-    ck_assert(!EngineMemory_keeps(&memory, &mark, ROOM, 21));
+    ck_assert(EngineMemory_retains(&memory, &mark, CAPACITY_TOKENS, 19));
+    ck_assert(!EngineMemory_retains(&memory, &mark, CAPACITY_TOKENS, 21));
 }
 END_TEST
 
-START_TEST(all_is_gone_with_the_weights)
+START_TEST(a_clear_drops_all_prefixes)
 {
     EngineMemory_t memory = {0};
     MemoryMark_t mark = EngineMemory_mark(&memory);
     EngineMemory_clear(&memory);
-    ck_assert(!EngineMemory_keeps(&memory, &mark, ROOM, 0));
+    ck_assert(!EngineMemory_retains(&memory, &mark, CAPACITY_TOKENS, 0));
 }
 END_TEST
 
-START_TEST(peers_are_told_of_what_this_router_sent_alone)
+START_TEST(only_tokens_of_this_router_are_unsent)
 {
     EngineMemory_t memory = {0};
-    EngineMemory_take(&memory, 900, 700);
-    EngineMemory_takeTold(&memory, 5000);
-    ck_assert_uint_eq(memory.untold, 700);
-    ck_assert_uint_eq(memory.taken, 5700);
+    EngineMemory_noteSent(&memory, 900, 700);
+    EngineMemory_notePeerTokens(&memory, 5000);
+    ck_assert_uint_eq(memory.unsent_tokens, 700);
+    ck_assert_uint_eq(memory.inserted_tokens, 5700);
 }
 END_TEST
 
-TESTING_MAIN("EngineMemory", a_prefix_gives_way_when_so_much_came_after_it,
-             what_runs_takes_room_as_well, all_is_gone_with_the_weights,
-             peers_are_told_of_what_this_router_sent_alone)
+TESTING_MAIN("EngineMemory",
+             a_prefix_is_evicted_when_newer_tokens_exceed_the_capacity,
+             running_requests_use_capacity, a_clear_drops_all_prefixes,
+             only_tokens_of_this_router_are_unsent)
--- a/tests/test_EngineQueue.c
+++ b/tests/test_EngineQueue.c
@@ -7,18 +7,18 @@
 static gint64
 wait_us(guint slots, guint requests, double run_us)
 {
-    EngineQueueFacts_t facts = {slots, requests, run_us};
-    return EngineQueue_waitUs(&facts);
+    EngineQueueInput_t input = {slots, requests, run_us};
+    return EngineQueue_waitUs(&input);
 }
 
-START_TEST(with_a_free_slot_nothing_waits)
+START_TEST(there_is_no_wait_with_a_free_slot)
 {
     ck_assert_int_eq(wait_us(16, 0, RUN_US), 0);
     ck_assert_int_eq(wait_us(16, 15, RUN_US), 0);
 }
 END_TEST
 
-START_TEST(with_all_slots_taken_one_has_to_end_for_each_before)
+START_TEST(each_queued_request_waits_for_one_more_end)
 {
     ck_assert_int_eq(wait_us(16, 16, RUN_US), 100000);
     ck_assert_int_eq(wait_us(16, 20, RUN_US), 500000);
@@ -26,13 +26,13 @@
 }
 END_TEST
 
-START_TEST(what_is_not_known_says_nothing)
+START_TEST(there_is_no_wait_where_slots_or_run_time_are_unknown)
 {
     ck_assert_int_eq(wait_us(0, 100, RUN_US), 0);
     ck_assert_int_eq(wait_us(16, 100, 0), 0);
 }
 END_TEST
 
-TESTING_MAIN("EngineQueue", with_a_free_slot_nothing_waits,
-             with_all_slots_taken_one_has_to_end_for_each_before,
-             what_is_not_known_says_nothing)
+TESTING_MAIN("EngineQueue", there_is_no_wait_with_a_free_slot,
+             each_queued_request_waits_for_one_more_end,
+             there_is_no_wait_where_slots_or_run_time_are_unknown)
--- a/tests/test_Policy.c
+++ b/tests/test_Policy.c
@@ -59,7 +59,7 @@
     return g_ptr_array_index(engines, i);
 }
 
-START_TEST(round_robin_takes_each_in_turn)
+START_TEST(round_robin_rotates)
 {
     engines = create_engines(3);
     Policy_t *policy = Policies_create(POLICY_ROUND_ROBIN);
@@ -74,7 +74,7 @@
 }
 END_TEST
 
-START_TEST(least_loaded_takes_the_least_loaded)
+START_TEST(least_loaded_chooses_the_lowest_load)
 {
     engines = create_engines(3);
     Policy_t *policy = Policies_create(POLICY_LEAST_LOADED);
@@ -88,7 +88,7 @@
 }
 END_TEST
 
-START_TEST(every_policy_leaves_out_the_unusable)
+START_TEST(every_policy_skips_unusable_upstreams)
 {
     for (int name = POLICY_PREFIX; name <= POLICY_ROUND_ROBIN; name++) {
         engines = create_engines(4);
@@ -130,7 +130,7 @@
 }
 END_TEST
 
-START_TEST(holder_is_kept_until_its_wait_costs_more)
+START_TEST(holder_is_chosen_until_its_wait_costs_more)
 {
     engines = create_engines(ENGINES);
     Policy_t *policy = Policies_create(POLICY_PREFIX);
@@ -179,7 +179,7 @@
 }
 END_TEST
 
-START_TEST(residency_is_bounded_and_forgets_the_oldest)
+START_TEST(residency_is_bounded_and_evicts_the_oldest)
 {
     engines = create_engines(ENGINES);
     Residency_t *table = Residency_create(100);
@@ -194,42 +194,42 @@
         Residency_note(table, 999, engine_at(i), i);
     }
     Residency_holders(table, 999, &count);
-    ck_assert_uint_eq(count, RESIDENCY_HOLDERS);
+    ck_assert_uint_eq(count, RESIDENCY_HOLDERS_MAX);
     Residency_forget(table, 999, engine_at(ENGINES - 1));
     Residency_holders(table, 999, &count);
-    ck_assert_uint_eq(count, RESIDENCY_HOLDERS - 1);
+    ck_assert_uint_eq(count, RESIDENCY_HOLDERS_MAX - 1);
     Residency_destroy(table);
     g_ptr_array_unref(engines);
 }
 END_TEST
 
 static gboolean
-take_first(Upstream_t *upstream, void *data)
+stop_at_first(Upstream_t *upstream, void *data)
 {
     *(Upstream_t **)data = upstream;
     return FALSE;
 }
 
-START_TEST(ring_moves_only_the_keys_of_what_left)
+START_TEST(ring_moves_only_the_keys_of_a_removed_engine)
 {
     engines = create_engines(ENGINES);
     Ring_t *all = Ring_create(engines, NULL);
-    Upstream_t *gone = engine_at(3);
-    GPtrArray *rest = g_ptr_array_new();
+    Upstream_t *removed_engine = engine_at(3);
+    GPtrArray *remaining = g_ptr_array_new();
     for (guint i = 0; i < ENGINES; i++) {
-        if (engine_at(i) != gone) {
-            g_ptr_array_add(rest, engine_at(i));
+        if (engine_at(i) != removed_engine) {
+            g_ptr_array_add(remaining, engine_at(i));
         }
     }
-    Ring_t *fewer = Ring_create(rest, NULL);
+    Ring_t *fewer = Ring_create(remaining, NULL);
     guint shares[ENGINES] = {0};
     for (guint64 key = 0; key < 10000; key++) {
         Upstream_t *before = NULL;
         Upstream_t *after = NULL;
-        guint64 place = key * 0x9e3779b97f4a7c15U;
-        Ring_walk(all, place, 1, take_first, &before);
-        Ring_walk(fewer, place, 1, take_first, &after);
-        ck_assert(before == gone || before == after);
+        guint64 key_hash = key * 0x9e3779b97f4a7c15U;
+        Ring_walk(all, key_hash, 1, stop_at_first, &before);
+        Ring_walk(fewer, key_hash, 1, stop_at_first, &after);
+        ck_assert(before == removed_engine || before == after);
         guint index = 0;
         ck_assert(g_ptr_array_find(engines, before, &index));
         shares[index]++;
@@ -239,7 +239,7 @@
     }
     Ring_destroy(all);
     Ring_destroy(fewer);
-    g_ptr_array_unref(rest);
+    g_ptr_array_unref(remaining);
     g_ptr_array_unref(engines);
 }
 END_TEST
@@ -279,23 +279,23 @@
 END_TEST
 
 static void
-name_limit(guint i, double per_s)
+set_limit(guint i, double per_s)
 {
-    NamedLimit_t said = {LIMIT_NAMED, per_s};
-    UpstreamLimit_noteAnswer(&engine_at(i)->limit, &said, 0, 1);
+    NamedLimit_t limit = {LIMIT_NAMED, per_s};
+    UpstreamLimit_noteAnswer(&engine_at(i)->limit, &limit, 0, 1);
 }
 
 static const PolicyName_t names[] = {POLICY_ROUND_ROBIN, POLICY_LEAST_LOADED,
                                      POLICY_PREFIX, POLICY_HOME};
 
-START_TEST(an_upstream_without_room_is_left_out_whatever_else_is_left)
+START_TEST(an_upstream_at_its_limit_is_not_used_as_a_last_resort)
 {
     for (gsize i = 0; i < G_N_ELEMENTS(names); i++) {
         engines = create_engines(2);
         Policy_t *policy = Policies_create(names[i]);
         Placement_t request = placement(1);
         engine_at(1)->leaving = TRUE;
-        name_limit(0, 2);
+        set_limit(0, 2);
         ck_assert_ptr_eq(Policy_choose(policy, &request).upstream,
                          engine_at(0));
         UpstreamLimit_noteFull(&engine_at(0)->limit, 500, request.now_ms);
@@ -307,7 +307,7 @@
         ck_assert_ptr_null(Policy_choose(policy, &request).upstream);
         request.permitted = NULL;
         request.now_ms += 500;
-        request.spares_limited = TRUE;
+        request.excludes_limited = TRUE;
         ck_assert_ptr_null(Policy_choose(policy, &request).upstream);
         Policy_destroy(policy);
         g_ptr_array_unref(engines);
@@ -315,19 +315,19 @@
 }
 END_TEST
 
-START_TEST(it_is_known_when_limited_upstreams_have_room)
+START_TEST(the_capacity_of_limited_upstreams_is_found)
 {
     engines = create_engines(3);
     Placement_t request = placement(1);
     ck_assert_uint_eq(Policy_findLimited(&request).count, 0);
-    name_limit(0, 2);
-    name_limit(1, 3);
+    set_limit(0, 2);
+    set_limit(1, 3);
     UpstreamLimit_noteFull(&engine_at(0)->limit, 500, request.now_ms);
     UpstreamLimit_noteFull(&engine_at(1)->limit, 700, request.now_ms);
-    LimitedRoom_t room = Policy_findLimited(&request);
-    ck_assert_uint_eq(room.count, 2);
-    ck_assert_double_eq(room.per_s, 5);
-    ck_assert_int_eq(room.full_ms, 500);
+    LimitedCapacity_t capacity = Policy_findLimited(&request);
+    ck_assert_uint_eq(capacity.count, 2);
+    ck_assert_double_eq(capacity.per_s, 5);
+    ck_assert_int_eq(capacity.full_ms, 500);
     engine_at(0)->leaving = TRUE;
     ck_assert_int_eq(Policy_findLimited(&request).full_ms, 700);
     g_ptr_array_unref(engines);
@@ -335,16 +335,16 @@
 END_TEST
 
 static void
-ask_for_rest(guint i, gint64 for_ms)
+set_backoff(guint i, gint64 for_ms)
 {
     ck_assert(UpstreamRest_note(&engine_at(i)->rest, for_ms, 1000));
 }
 
-START_TEST(a_resting_upstream_is_left_out_whatever_else_is_left)
+START_TEST(a_backed_off_upstream_is_not_used_as_a_last_resort)
 {
     engines = create_engines(2);
     Placement_t request = placement(1);
-    ask_for_rest(0, 3000);
+    set_backoff(0, 3000);
     for (gsize i = 0; i < G_N_ELEMENTS(names); i++) {
         Policy_t *policy = Policies_create(names[i]);
         engine_at(1)->removed = FALSE;
@@ -352,22 +352,22 @@
                          engine_at(1));
         engine_at(1)->removed = TRUE;
         ck_assert_ptr_null(Policy_choose(policy, &request).upstream);
-        request.ignores_rests = TRUE;
+        request.ignores_backoffs = TRUE;
         ck_assert_ptr_eq(Policy_choose(policy, &request).upstream,
                          engine_at(0));
-        request.ignores_rests = FALSE;
+        request.ignores_backoffs = FALSE;
         Policy_destroy(policy);
     }
     g_ptr_array_unref(engines);
 }
 END_TEST
 
-START_TEST(after_a_rest_a_last_resort_does_not_wait_for_its_turn)
+START_TEST(pacing_after_a_backoff_does_not_delay_a_last_resort)
 {
     engines = create_engines(1);
     Placement_t request = placement(1);
     Policy_t *policy = Policies_create(POLICY_HOME);
-    ask_for_rest(0, 100);
+    set_backoff(0, 100);
     request.now_ms = engine_at(0)->rest.until_ms;
     UpstreamRest_noteSent(&engine_at(0)->rest, request.now_ms);
     ck_assert(!Policy_mayUse(&request, engine_at(0)));
@@ -377,24 +377,24 @@
 }
 END_TEST
 
-START_TEST(it_is_known_when_the_first_rest_ends)
+START_TEST(the_end_of_the_first_backoff_is_found)
 {
     engines = create_engines(3);
     Placement_t request = placement(1);
-    ck_assert_uint_eq(Policy_findResting(&request).count, 0);
-    ask_for_rest(0, 3000);
-    ask_for_rest(1, 1000);
-    RestingUpstreams_t resting = Policy_findResting(&request);
-    ck_assert_uint_eq(resting.count, 2);
-    ck_assert_int_eq(resting.first_ms,
+    ck_assert_uint_eq(Policy_findBackedOff(&request).count, 0);
+    set_backoff(0, 3000);
+    set_backoff(1, 1000);
+    BackedOffUpstreams_t backed_off = Policy_findBackedOff(&request);
+    ck_assert_uint_eq(backed_off.count, 2);
+    ck_assert_int_eq(backed_off.first_ms,
                      engine_at(1)->rest.until_ms - request.now_ms);
     engine_at(1)->leaving = TRUE;
-    ck_assert_uint_eq(Policy_findResting(&request).count, 1);
+    ck_assert_uint_eq(Policy_findBackedOff(&request).count, 1);
     g_ptr_array_unref(engines);
 }
 END_TEST
 
-START_TEST(it_is_known_whether_all_upstreams_leave)
+START_TEST(upstreams_that_are_all_leaving_are_detected)
 {
     engines = create_engines(2);
     Placement_t request = placement(1);
@@ -408,20 +408,20 @@
 }
 END_TEST
 
-TESTING_MAIN("Policy", round_robin_takes_each_in_turn,
-             least_loaded_takes_the_least_loaded,
-             every_policy_leaves_out_the_unusable,
-             an_upstream_without_room_is_left_out_whatever_else_is_left,
-             it_is_known_when_limited_upstreams_have_room,
-             a_resting_upstream_is_left_out_whatever_else_is_left,
-             after_a_rest_a_last_resort_does_not_wait_for_its_turn,
-             it_is_known_when_the_first_rest_ends,
-             it_is_known_whether_all_upstreams_leave,
+TESTING_MAIN("Policy", round_robin_rotates,
+             least_loaded_chooses_the_lowest_load,
+             every_policy_skips_unusable_upstreams,
+             an_upstream_at_its_limit_is_not_used_as_a_last_resort,
+             the_capacity_of_limited_upstreams_is_found,
+             a_backed_off_upstream_is_not_used_as_a_last_resort,
+             pacing_after_a_backoff_does_not_delay_a_last_resort,
+             the_end_of_the_first_backoff_is_found,
+             upstreams_that_are_all_leaving_are_detected,
              two_routers_agree_on_a_cold_prefix,
-             holder_is_kept_until_its_wait_costs_more,
+             holder_is_chosen_until_its_wait_costs_more,
              restarted_engine_holds_nothing,
              evicting_engine_is_trusted_for_less_time,
-             residency_is_bounded_and_forgets_the_oldest,
-             ring_moves_only_the_keys_of_what_left,
+             residency_is_bounded_and_evicts_the_oldest,
+             ring_moves_only_the_keys_of_a_removed_engine,
              empty_ring_and_empty_set_choose_nothing,
              least_loaded_prefers_an_open_connection_among_equals)
--- a/tests/test_PrefixSupply.c
+++ b/tests/test_PrefixSupply.c
@@ -4,11 +4,11 @@
 
 #define NOW_MS 100000
 #define ENGINES 3
-#define SHARED 6300
+#define SHARED_TOKENS 6300
 #define KEY 42
-/* 1 GB over 180 Gbit/s takes 46 ms. */
+/* SHARED_TOKENS take 46 ms: 1 GB over 180 Gbit/s. */
 #define MOVE_US_PER_TOKEN 7.28
-#define ROOM 100000
+#define CAPACITY_TOKENS 100000
 
 static GPtrArray *engines;
 static Residency_t *residency;
@@ -27,9 +27,9 @@
     return g_ptr_array_index(engines, i);
 }
 
-/* The last engine stands in another hall. */
+/* The last engine is in another hall. */
 static void
-begin(void)
+set_up(void)
 {
     UpstreamSpec_t spec = {.hall = g_string_new("h"),
                            .region = g_string_new("r"),
@@ -49,20 +49,20 @@
     g_string_free(spec.hall, TRUE);
     g_string_free(spec.region, TRUE);
     g_ptr_array_unref(spec.serves);
-    residency = Residency_create(RESIDENCY_PREFIXES);
+    residency = Residency_create(RESIDENCY_PREFIXES_DEFAULT);
     placement = (Placement_t){.target = "s",
                               .serving = engines,
                               .level_count = 2,
                               .levels = {KEY, 0},
-                              .level_tokens = {SHARED, 9000},
+                              .level_tokens = {SHARED_TOKENS, 9000},
                               .prompt_tokens = 9000,
-                              .cache_tokens = ROOM,
+                              .cache_tokens = CAPACITY_TOKENS,
                               .move_us_per_token = MOVE_US_PER_TOKEN,
                               .now_ms = NOW_MS};
 }
 
 static void
-end(void)
+tear_down(void)
 {
     Residency_destroy(residency);
     g_hash_table_destroy(by_hash);
@@ -70,139 +70,140 @@
 }
 
 static Supply_t
-find(guint to)
+find_supply(guint to)
 {
     PrefixHolders_t holders;
     PrefixSupply_findHolders(residency, &placement, by_hash, &holders);
     return PrefixSupply_find(&holders, &placement, engine_at(to));
 }
 
-START_TEST(nobody_is_known_to_have_what_was_never_read)
+START_TEST(a_prefix_that_was_never_read_has_no_known_source)
 {
-    begin();
-    ck_assert_int_eq(find(0).kind, SUPPLY_UNKNOWN);
-    ck_assert_uint_eq(find(0).tokens, 0);
-    end();
+    set_up();
+    ck_assert_int_eq(find_supply(0).kind, SUPPLY_UNKNOWN);
+    ck_assert_uint_eq(find_supply(0).tokens, 0);
+    tear_down();
 }
 END_TEST
 
-START_TEST(what_is_held_is_not_moved)
+START_TEST(a_held_prefix_is_not_moved)
 {
-    begin();
+    set_up();
     Residency_note(residency, KEY, engine_at(0), NOW_MS);
-    ck_assert_int_eq(find(0).kind, SUPPLY_HELD);
-    ck_assert_uint_eq(find(0).tokens, SHARED);
-    ck_assert_int_eq(find(0).move_us, 0);
-    EngineMemory_takeTold(&engine_at(0)->memory, ROOM + 1);
-    ck_assert_int_eq(find(0).kind, SUPPLY_UNKNOWN);
-    end();
+    ck_assert_int_eq(find_supply(0).kind, SUPPLY_HELD);
+    ck_assert_uint_eq(find_supply(0).tokens, SHARED_TOKENS);
+    ck_assert_int_eq(find_supply(0).move_us, 0);
+    EngineMemory_notePeerTokens(&engine_at(0)->memory, CAPACITY_TOKENS + 1);
+    ck_assert_int_eq(find_supply(0).kind, SUPPLY_UNKNOWN);
+    tear_down();
 }
 END_TEST
 
 START_TEST(a_move_between_halls_takes_twice_as_long)
 {
-    begin();
+    set_up();
     Residency_note(residency, KEY, engine_at(0), NOW_MS);
-    Supply_t near = find(1);
-    Supply_t far = find(2);
+    Supply_t near = find_supply(1);
+    Supply_t far = find_supply(2);
     ck_assert_int_eq(near.kind, SUPPLY_ENGINE);
     ck_assert_ptr_eq(near.source, engine_at(0));
     ck_assert_int_gt(near.move_us, 45000);
     ck_assert_int_lt(near.move_us, 55000);
     ck_assert_int_gt(far.move_us, 90000);
-    end();
+    tear_down();
 }
 END_TEST
 
-START_TEST(the_giver_whose_link_is_free_is_asked)
+START_TEST(the_source_with_a_free_link_is_chosen)
 {
-    begin();
+    set_up();
     Residency_note(residency, KEY, engine_at(0), NOW_MS);
     Residency_note(residency, KEY, engine_at(2), NOW_MS);
-    ck_assert_ptr_eq(find(1).source, engine_at(0));
+    ck_assert_ptr_eq(find_supply(1).source, engine_at(0));
     engine_at(0)->link.others_us = 100000;
-    ck_assert_ptr_eq(find(1).source, engine_at(2));
-    end();
+    ck_assert_ptr_eq(find_supply(1).source, engine_at(2));
+    tear_down();
 }
 END_TEST
 
-START_TEST(it_is_computed_where_all_links_are_busy)
+START_TEST(a_prefix_is_computed_where_all_links_are_busy)
 {
-    begin();
+    set_up();
     Residency_note(residency, KEY, engine_at(0), NOW_MS);
     engine_at(0)->link.others_us = 2000000;
-    Supply_t supply = find(1);
+    Supply_t supply = find_supply(1);
     ck_assert_int_eq(supply.kind, SUPPLY_COMPUTED);
     ck_assert_uint_eq(supply.tokens, 0);
-    end();
+    tear_down();
 }
 END_TEST
 
-START_TEST(other_weights_give_and_hold_nothing)
+START_TEST(engines_with_other_weights_neither_hold_nor_supply)
 {
-    begin();
+    set_up();
     Residency_note(residency, KEY, engine_at(0), NOW_MS);
     Upstream_noteWeights(engine_at(1), "2");
-    ck_assert_int_eq(find(1).kind, SUPPLY_UNKNOWN);
+    ck_assert_int_eq(find_supply(1).kind, SUPPLY_UNKNOWN);
     Upstream_noteWeights(engine_at(0), "2");
-    ck_assert_int_eq(find(0).kind, SUPPLY_UNKNOWN);
-    end();
+    ck_assert_int_eq(find_supply(0).kind, SUPPLY_UNKNOWN);
+    tear_down();
 }
 END_TEST
 
-START_TEST(an_engine_that_was_replaced_at_its_address_gives_nothing)
+START_TEST(a_replaced_engine_is_not_a_source)
 {
-    begin();
+    set_up();
     Residency_note(residency, KEY, engine_at(0), NOW_MS);
     engine_at(0)->leaving = TRUE;
-    ck_assert_int_eq(find(1).kind, SUPPLY_ENGINE);
+    ck_assert_int_eq(find_supply(1).kind, SUPPLY_ENGINE);
     engine_at(0)->replaced = TRUE;
-    ck_assert_int_eq(find(1).kind, SUPPLY_UNKNOWN);
-    end();
+    ck_assert_int_eq(find_supply(1).kind, SUPPLY_UNKNOWN);
+    tear_down();
 }
 END_TEST
 
-START_TEST(a_choice_counts_on_the_links_and_in_the_memory)
+START_TEST(a_commit_counts_on_the_links_and_in_the_memory)
 {
-    begin();
+    set_up();
     Residency_note(residency, KEY, engine_at(0), NOW_MS);
-    Choice_t choice = {.upstream = engine_at(1), .supply = find(1)};
-    PrefixSupply_begin(&placement, &choice);
-    ck_assert_uint_eq(engine_at(1)->memory.taken, 9000);
-    ck_assert_int_gt(find(2).wait_us, 30000);
-    end();
+    Choice_t choice = {.upstream = engine_at(1), .supply = find_supply(1)};
+    PrefixSupply_commit(&placement, &choice);
+    ck_assert_uint_eq(engine_at(1)->memory.inserted_tokens, 9000);
+    ck_assert_int_gt(find_supply(2).wait_us, 30000);
+    tear_down();
 }
 END_TEST
 
-/* A configuration without sizes must not make anything divide by zero. */
-START_TEST(without_sizes_fixed_costs_do)
+/* A configuration without sizes must not cause a division by zero. */
+START_TEST(without_sizes_the_default_times_apply)
 {
-    begin();
+    set_up();
     placement.cache_tokens = 0;
     placement.move_us_per_token = 0;
     Residency_note(residency, KEY, engine_at(0), NOW_MS);
-    ck_assert_int_eq(find(1).kind, SUPPLY_ENGINE);
-    ck_assert_int_gt(find(1).move_us, 0);
-    end();
+    ck_assert_int_eq(find_supply(1).kind, SUPPLY_ENGINE);
+    ck_assert_int_gt(find_supply(1).move_us, 0);
+    tear_down();
 }
 END_TEST
 
 START_TEST(a_short_prefix_is_not_moved)
 {
-    begin();
+    set_up();
     placement.level_tokens[0] = PREFIX_SUPPLY_TOKENS_MIN - 1;
     Residency_note(residency, KEY, engine_at(0), NOW_MS);
-    ck_assert_int_eq(find(1).kind, SUPPLY_COMPUTED);
-    end();
+    ck_assert_int_eq(find_supply(1).kind, SUPPLY_COMPUTED);
+    tear_down();
 }
 END_TEST
 
-TESTING_MAIN("PrefixSupply", nobody_is_known_to_have_what_was_never_read,
-             what_is_held_is_not_moved,
+TESTING_MAIN("PrefixSupply", a_prefix_that_was_never_read_has_no_known_source,
+             a_held_prefix_is_not_moved,
              a_move_between_halls_takes_twice_as_long,
-             the_giver_whose_link_is_free_is_asked,
-             it_is_computed_where_all_links_are_busy,
-             other_weights_give_and_hold_nothing,
-             an_engine_that_was_replaced_at_its_address_gives_nothing,
-             a_choice_counts_on_the_links_and_in_the_memory,
-             without_sizes_fixed_costs_do, a_short_prefix_is_not_moved)
+             the_source_with_a_free_link_is_chosen,
+             a_prefix_is_computed_where_all_links_are_busy,
+             engines_with_other_weights_neither_hold_nor_supply,
+             a_replaced_engine_is_not_a_source,
+             a_commit_counts_on_the_links_and_in_the_memory,
+             without_sizes_the_default_times_apply,
+             a_short_prefix_is_not_moved)
--- a/tests/test_Prompt.c
+++ b/tests/test_Prompt.c
@@ -90,7 +90,7 @@
 }
 END_TEST
 
-START_TEST(marked_levels_are_taken_and_others_guessed)
+START_TEST(marked_levels_are_used_and_default_ones_added)
 {
     Prompt_t *marked = parse(FALSE, "{\"model\":\"m\",\"prompt\":\"abcdef\","
                                     "\"prompt_levels\":[2,4]}");
@@ -102,10 +102,10 @@
         g_string_append_c(text, 'x');
     }
     g_string_append(text, "\"}");
-    Prompt_t *guessed = parse(FALSE, text->str);
-    ck_assert_uint_eq(guessed->level_count, 3);
-    ck_assert_uint_eq(guessed->levels[2].end, 2048);
-    Prompt_destroy(guessed);
+    Prompt_t *unmarked = parse(FALSE, text->str);
+    ck_assert_uint_eq(unmarked->level_count, 3);
+    ck_assert_uint_eq(unmarked->levels[2].end, 2048);
+    Prompt_destroy(unmarked);
     g_string_free(text, TRUE);
 }
 END_TEST
@@ -128,4 +128,4 @@
 
 TESTING_MAIN("Prompt", fields_are_read, wrong_types_are_refused,
              levels_follow_the_messages, role_is_part_of_the_prefix,
-             marked_levels_are_taken_and_others_guessed, levels_are_bounded)
+             marked_levels_are_used_and_default_ones_added, levels_are_bounded)
--- a/tests/test_RequestDigest.c
+++ b/tests/test_RequestDigest.c
@@ -1,4 +1,4 @@
-/* Which requests count as the same. */
+/* Tests which requests have the same digest. */
 #include "RequestDigest.h"
 
 #include <string.h>
@@ -12,7 +12,7 @@
 }
 
 static RequestDigest_t
-make(const char *customer, const char *path, const char *text)
+make_digest(const char *customer, const char *path, const char *text)
 {
     g_autoptr(GBytes) key = bytes_of("sixteen bytes at least");
     g_autoptr(GBytes) body = bytes_of(text);
@@ -26,49 +26,51 @@
     return RequestDigest_equal(&left, &right);
 }
 
-START_TEST(customer_path_and_body_make_it)
+START_TEST(a_digest_covers_customer_path_and_body)
 {
-    RequestDigest_t known = make("a", "/ask/x", "body");
-    ck_assert(is_same(known, make("a", "/ask/x", "body")));
-    ck_assert(!is_same(known, make("b", "/ask/x", "body")));
-    ck_assert(!is_same(known, make("a", "/ask/y", "body")));
-    ck_assert(!is_same(known, make("a", "/ask/x?q=1", "body")));
-    ck_assert(!is_same(known, make("a", "/ask/x", "body ")));
+    RequestDigest_t original = make_digest("a", "/ask/x", "body");
+    ck_assert(is_same(original, make_digest("a", "/ask/x", "body")));
+    ck_assert(!is_same(original, make_digest("b", "/ask/x", "body")));
+    ck_assert(!is_same(original, make_digest("a", "/ask/y", "body")));
+    ck_assert(!is_same(original, make_digest("a", "/ask/x?q=1", "body")));
+    ck_assert(!is_same(original, make_digest("a", "/ask/x", "body ")));
 }
 END_TEST
 
-START_TEST(texts_do_not_run_into_each_other)
+START_TEST(boundaries_between_texts_count)
 {
-    ck_assert(!is_same(make("a", "/b", "c"), make("a/b", "", "c")));
-    ck_assert(!is_same(make("", "/b", "c"), make("", "/bc", "")));
+    ck_assert(
+        !is_same(make_digest("a", "/b", "c"), make_digest("a/b", "", "c")));
+    ck_assert(
+        !is_same(make_digest("", "/b", "c"), make_digest("", "/bc", "")));
 }
 END_TEST
 
-START_TEST(another_key_makes_another_one)
+START_TEST(a_digest_depends_on_the_key)
 {
     g_autoptr(GBytes) key = bytes_of("another one of 22 byte");
     g_autoptr(GBytes) body = bytes_of("body");
     RequestIdentity_t identity = {"a", "/ask/x", body};
-    ck_assert(!is_same(make("a", "/ask/x", "body"),
+    ck_assert(!is_same(make_digest("a", "/ask/x", "body"),
                        RequestDigest_make(&identity, key)));
 }
 END_TEST
 
-START_TEST(text_and_back)
+START_TEST(hex_round_trip)
 {
-    RequestDigest_t known = make("a", "/ask/x", "body");
+    RequestDigest_t original = make_digest("a", "/ask/x", "body");
     RequestDigest_t read;
     char text[REQUEST_DIGEST_TEXT + 1];
-    RequestDigest_write(&known, text);
+    RequestDigest_write(&original, text);
     ck_assert_uint_eq(strlen(text), REQUEST_DIGEST_TEXT);
     ck_assert(RequestDigest_read(text, &read));
-    ck_assert(is_same(known, read));
+    ck_assert(is_same(original, read));
     ck_assert(!RequestDigest_read("", &read));
     ck_assert(!RequestDigest_read("00", &read));
     ck_assert(!RequestDigest_read("not hex digits, but long enough!", &read));
 }
 END_TEST
 
-TESTING_MAIN("RequestDigest", customer_path_and_body_make_it,
-             texts_do_not_run_into_each_other, another_key_makes_another_one,
-             text_and_back)
+TESTING_MAIN("RequestDigest", a_digest_covers_customer_path_and_body,
+             boundaries_between_texts_count, a_digest_depends_on_the_key,
+             hex_round_trip)
--- a/tests/test_RunTimes.c
+++ b/tests/test_RunTimes.c
@@ -2,7 +2,7 @@
 
 #include "RunTimes.h"
 
-START_TEST(nothing_is_expected_before_anything_was_seen)
+START_TEST(the_expected_time_is_zero_before_any_stream)
 {
     RunTimes_t *times = RunTimes_create();
     ck_assert_int_eq(RunTimes_expectedUs(times, "a"), 0);
@@ -10,7 +10,7 @@
 }
 END_TEST
 
-START_TEST(each_route_has_a_mean_of_its_own)
+START_TEST(each_route_has_its_own_mean)
 {
     RunTimes_t *times = RunTimes_create();
     for (int i = 0; i < 100; i++) {
@@ -25,7 +25,7 @@
 }
 END_TEST
 
-START_TEST(a_change_is_followed)
+START_TEST(the_mean_follows_a_change)
 {
     RunTimes_t *times = RunTimes_create();
     RunTimes_note(times, "a", 1000000);
@@ -37,5 +37,5 @@
 }
 END_TEST
 
-TESTING_MAIN("RunTimes", nothing_is_expected_before_anything_was_seen,
-             each_route_has_a_mean_of_its_own, a_change_is_followed)
+TESTING_MAIN("RunTimes", the_expected_time_is_zero_before_any_stream,
+             each_route_has_its_own_mean, the_mean_follows_a_change)
--- a/tests/test_UpstreamGate.c
+++ b/tests/test_UpstreamGate.c
@@ -204,7 +204,7 @@
 START_TEST(those_refused_come_back_one_after_the_other)
 {
     begin();
-    LimitedRoom_t room = {.count = 1, .per_s = 4, .full_ms = 100};
+    LimitedCapacity_t room = {.count = 1, .per_s = 4, .full_ms = 100};
     g_autoptr(GHashTable) told = g_hash_table_new(NULL, NULL);
     guint latest = 0;
     for (guint i = 0; i < 20; i++) {
--- a/tests/test_UpstreamListing.c
+++ b/tests/test_UpstreamListing.c
@@ -349,7 +349,7 @@
     Upstream_noteUnloading(upstream, 60000, Clock_nowMs());
     Upstream_noteFailure(upstream, 1, 60000, Clock_nowMs());
     ck_assert(!Upstream_isUsable(upstream, Clock_nowMs()));
-    ck_assert(EngineMemory_keeps(&upstream->memory, &mark, 1000, 0));
+    ck_assert(EngineMemory_retains(&upstream->memory, &mark, 1000, 0));
     answer(2, "a", "m:200");
     ck_assert_ptr_eq(upstream_of("a"), upstream);
     ck_assert_uint_eq(upstream->incarnation, 200);
@@ -357,7 +357,7 @@
     ck_assert(!upstream->replaced);
     ck_assert_int_eq(Upstream_waitUs(upstream, Clock_nowMs()), 0);
     ck_assert_int_eq(Upstream_unloadingMs(upstream, Clock_nowMs()), 0);
-    ck_assert(!EngineMemory_keeps(&upstream->memory, &mark, 1000, 0));
+    ck_assert(!EngineMemory_retains(&upstream->memory, &mark, 1000, 0));
     end(listing);
 }
 END_TEST
