--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -14,7 +14,7 @@
 #include "ConfigStore.h"
 #include "Policies.h"
 #include "Random.h"
-#include "RateBook.h"
+#include "RateCountTable.h"
 #include "Residency.h"
 #include "Salt.h"
 #include "Trace.h"
@@ -107,7 +107,7 @@
 static void
 measure_usage(void)
 {
-    RateBook_t *book = RateBook_create();
+    RateCountTable_t *book = RateCountTable_create();
     RateClaim_t claim = {.limit = {.per_s = 100, .burst = 100}, .units = 1};
     size_t before = memory();
     double began = cpu_us();
@@ -115,12 +115,12 @@
         g_autofree char *name = g_strdup_printf("customer-%u", i);
         claim.subject = name;
         claim.from = i + 1;
-        RateBook_rule(book, &claim, 0);
+        RateCountTable_decide(book, &claim, 0);
     }
     report("count of a customer's limit",
            (double)(memory() - before) / CUSTOMERS, "bytes");
     report("ruling on one request", (cpu_us() - began) / CUSTOMERS, "us");
-    RateBook_destroy(book);
+    RateCountTable_destroy(book);
 }
 
 static GPtrArray *
--- a/src/CallerApi.c
+++ b/src/CallerApi.c
@@ -150,8 +150,8 @@
 {
     const Object_t *customer = call->caller.customer;
     const Customer_t *spec = customer->spec;
-    if (CustomerLimits_enter(call->context->limits, customer->name->str,
-                             (guint)spec->concurrency)) {
+    if (CustomerLimits_acquire(call->context->limits, customer->name->str,
+                               (guint)spec->concurrency)) {
         return TRUE;
     }
     refuse(call, REFUSAL_CONCURRENCY_LIMITED, NULL);
--- a/src/CustomerLimits.c
+++ b/src/CustomerLimits.c
@@ -30,10 +30,11 @@
 }
 
 gboolean
-CustomerLimits_enter(CustomerLimits_t *this, const char *name, guint most)
+CustomerLimits_acquire(CustomerLimits_t *this, const char *name,
+                       guint max_open)
 {
-    guint open = CustomerLimits_open(this, name);
-    if (open >= most) {
+    guint open = CustomerLimits_openRequests(this, name);
+    if (open >= max_open) {
         return FALSE;
     }
     set_open(this, name, open + 1);
@@ -41,16 +42,16 @@
 }
 
 void
-CustomerLimits_leave(CustomerLimits_t *this, const char *name)
+CustomerLimits_release(CustomerLimits_t *this, const char *name)
 {
-    guint open = CustomerLimits_open(this, name);
+    guint open = CustomerLimits_openRequests(this, name);
     if (open > 0) {
         set_open(this, name, open - 1);
     }
 }
 
 guint
-CustomerLimits_open(const CustomerLimits_t *this, const char *name)
+CustomerLimits_openRequests(const CustomerLimits_t *this, const char *name)
 {
     return GPOINTER_TO_UINT(g_hash_table_lookup(this->open, name));
 }
--- a/src/Exchange.c
+++ b/src/Exchange.c
@@ -72,8 +72,8 @@
     }
     this->context->open_requests--;
     CrashGuard_leave(this->context->crashes, this);
-    CustomerLimits_leave(this->context->limits, this->customer->str);
-    RateGate_leave(&this->rate_gate, run != RUN_NOT);
+    CustomerLimits_release(this->context->limits, this->customer->str);
+    RateGate_release(&this->rate_gate, run != RUN_NOT);
     UpstreamGate_leave(&this->upstream_gate);
     ExchangeLog_end(this, outcome);
     this->trace->outcome = outcome;
@@ -259,8 +259,8 @@
 Exchange_admit(Exchange_t *this, const RateRequest_t *rate, const char *key)
 {
     this->key = key ? g_string_new(key) : NULL;
-    RateGate_enter(&this->rate_gate, this->context->rates, rate,
-                   on_rate_verdict, this);
+    RateGate_acquire(&this->rate_gate, this->context->rates, rate,
+                     on_rate_verdict, this);
 }
 
 void
@@ -278,7 +278,7 @@
     ExchangeLog_sentToLimited(this);
     ExchangeLog_sentToLeaving(this);
     ExchangeLog_sentDuringBackoff(this);
-    UpstreamRest_noteSent(&upstream->rest, Clock_nowMs());
+    UpstreamBackoff_noteSent(&upstream->rest, Clock_nowMs());
     upstream->in_flight++;
     upstream->probing = upstream->ejections > 0;
 }
--- a/src/ExchangeCapacity.c
+++ b/src/ExchangeCapacity.c
@@ -79,7 +79,7 @@
 gboolean
 ExchangeCapacity_acquireSame(Exchange_t *this, Upstream_t *upstream)
 {
-    gint64 backoff_ms = UpstreamRest_leftMs(&upstream->rest, Clock_nowMs());
+    gint64 backoff_ms = UpstreamBackoff_leftMs(&upstream->rest, Clock_nowMs());
     if (backoff_ms > 0) {
         Clock_arm(this->next_timer, backoff_ms);
         return FALSE;
--- a/src/ExchangeLog.c
+++ b/src/ExchangeLog.c
@@ -84,9 +84,9 @@
 void
 ExchangeLog_sentDuringBackoff(const Exchange_t *this)
 {
-    const UpstreamRest_t *rest = &this->upstream->rest;
+    const UpstreamBackoff_t *rest = &this->upstream->rest;
     gint64 now_ms = Clock_nowMs();
-    gint64 left_ms = UpstreamRest_leftMs(rest, now_ms);
+    gint64 left_ms = UpstreamBackoff_leftMs(rest, now_ms);
     if (left_ms == 0) {
         return;
     }
--- a/src/NoticeNews.c
+++ b/src/NoticeNews.c
@@ -185,7 +185,7 @@
 is_sound(const Wt__NoticeFact *fact)
 {
     return isfinite(fact->per_s) && fact->per_s >= 0 &&
-           fact->per_s <= NAMED_LIMIT_MOST;
+           fact->per_s <= ADVERTISED_LIMIT_MAX_PER_S;
 }
 
 static void
--- a/src/Policy.c
+++ b/src/Policy.c
@@ -27,13 +27,13 @@
 static gboolean
 is_backed_off(const Placement_t *placement, const Upstream_t *upstream)
 {
-    const UpstreamRest_t *backoff = &upstream->rest;
+    const UpstreamBackoff_t *backoff = &upstream->rest;
     if (placement->ignores_backoffs) {
         return FALSE;
     }
-    return UpstreamRest_leftMs(backoff, placement->now_ms) > 0 ||
+    return UpstreamBackoff_leftMs(backoff, placement->now_ms) > 0 ||
            (!placement->is_last_resort &&
-            UpstreamRest_isPaced(backoff, placement->now_ms));
+            UpstreamBackoff_isPaced(backoff, placement->now_ms));
 }
 
 /* Where an attempt failed, its upstream is used again only if it is the only
@@ -105,7 +105,7 @@
     for (guint i = 0; i < placement->serving->len; i++) {
         const Upstream_t *upstream = g_ptr_array_index(placement->serving, i);
         gint64 left_ms =
-            UpstreamRest_leftMs(&upstream->rest, placement->now_ms);
+            UpstreamBackoff_leftMs(&upstream->rest, placement->now_ms);
         if (left_ms > 0 && Policy_mayUse(&unpaced, upstream)) {
             found.count++;
             found.first_ms = MIN(found.first_ms, left_ms);
--- a/src/RateGate.h
+++ b/src/RateGate.h
@@ -3,37 +3,40 @@
 /**
  * DOC: RateGate
  *
- * One request at a limit: it waits there until it is let in or
- * refused, and what it took is given back where it has not run.
+ * One request's passage through a rate limit: waits until the request is
+ * admitted or refused, and refunds the units of a request that has not run.
  */
 #include "RateLimits.h"
 
 /**
- * struct RateGate_t - of one request
- * @rates: that know the limits
- * @request: what it takes; its subject is the gate's owner's text
- * @ask: question under way, or NULL
- * @taken: it was let in, and nothing was given back
- * @by: by whose word, as RateVerdict_t has it; NULL before the verdict
+ * struct RateGate_t - state of one request
+ * @rates: rate limits that decide
+ * @request: what the request takes; the text of its subject belongs to the
+ *     owner of the gate
+ * @query: pending query, or NULL
+ * @taken: the request was admitted and its units were not refunded
+ * @by: what the decision rests on, see RateVerdict_t; NULL before the verdict
  * @done: called with the verdict
- * @owner: for @done
+ * @owner: first argument of @done
  */
 typedef struct {
     RateLimits_t *rates;
     RateRequest_t request;
-    RateAsk_t *ask;
+    RateQuery_t *query;
     gboolean taken;
     const char *by;
     RateDone_t done;
     void *owner;
 } RateGate_t;
 
-/** RateGate_enter() - ask for room; @done may be called before the return */
-void RateGate_enter(RateGate_t *this, RateLimits_t *rates,
-                    const RateRequest_t *request, RateDone_t done,
-                    void *owner);
+/** RateGate_acquire() - ask for admission; @done may be called before this
+ * function returns */
+void RateGate_acquire(RateGate_t *this, RateLimits_t *rates,
+                      const RateRequest_t *request, RateDone_t done,
+                      void *owner);
 
-/** RateGate_leave() - the request is over; nothing where it never entered */
-void RateGate_leave(RateGate_t *this, gboolean has_run);
+/** RateGate_release() - the request has ended; has no effect on a gate that
+ * was never acquired */
+void RateGate_release(RateGate_t *this, gboolean has_run);
 
 #endif
--- a/src/RateKeeper.c
+++ b/src/RateKeeper.c
@@ -4,22 +4,22 @@
 #include <string.h>
 
 #include "Clock.h"
-#include "RateAsks.h"
-#include "RateCounts.h"
-#include "RateWords.h"
+#include "RateLocalCounts.h"
+#include "RateQueries.h"
+#include "RateStates.h"
 
-/* Where much is left, what was let in is told once all routers together may
- * have let in this part of the depth without telling. */
-#define UNTOLD_PART 0.125
+/* While a limit is open, a router reports its admitted units once all routers
+ * together may have admitted this fraction of the depth without a report. */
+#define REPORT_FRACTION 0.125
 
 struct RateKeeper {
     RateLimits_t super;
     RateLinks_t links;
     Counters_t *counters;
-    RateRoll_t *roll;
-    RateCounts_t *counts;
-    RateAsks_t *asks;
-    RateWords_t *words;
+    RateCandidates_t *candidates;
+    RateLocalCounts_t *counts;
+    RateQueries_t *queries;
+    RateStates_t *states;
 };
 
 static guint
@@ -29,370 +29,383 @@
 }
 
 static void
-count_ask(const RateKeeper_t *this, const char *labels)
+count_query(const RateKeeper_t *this, const char *labels)
 {
     Counters_add(this->counters, "rate_asks_total", labels, 1);
 }
 
 static RateVerdict_t
-decide_here(RateKeeper_t *this, RateWord_t *word, const RateRequest_t *request)
+decide_locally(RateKeeper_t *this, RateState_t *state,
+               const RateRequest_t *request)
 {
-    RateClaim_t claim = RateWord_claim(word, request);
-    RateRuling_t ruling = RateCounts_rule(this->counts, &claim);
-    RateWord_note(word, ruling.open, ruling.left);
-    word->version = request->limit.version;
-    if (ruling.admitted) {
-        OwnShare_note(&word->share, request->units, Clock_nowMs());
+    RateClaim_t claim = RateState_createClaim(state, request);
+    RateDecision_t decision = RateLocalCounts_decide(this->counts, &claim);
+    RateState_noteReply(state, decision.open, decision.left);
+    state->version = request->limit.version;
+    if (decision.admitted) {
+        LocalShare_noteAdmitted(&state->share, request->units, Clock_nowMs());
     }
     return (RateVerdict_t){
-        .admitted = ruling.admitted,
-        .retry_after_ms = ruling.retry_after_ms,
+        .admitted = decision.admitted,
+        .retry_after_ms = decision.retry_after_ms,
         .by = "self",
-        .left = ruling.left,
+        .left = decision.left,
     };
 }
 
-/* By this router's own share, as nobody has answered. */
+/* Decides by this router's share, when no keeper has replied. */
 static RateVerdict_t
-decide_alone(const RateKeeper_t *this, RateWord_t *word,
-             const RateRequest_t *request)
+decide_from_share(const RateKeeper_t *this, RateState_t *state,
+                  const RateRequest_t *request)
 {
     gint64 now_ms = Clock_nowMs();
     double units = request->units;
-    OwnShareFacts_t facts = {
+    LocalShareInput_t input = {
         .limit = request->limit,
         .routers = count_routers(this),
-        .pressed = RateWord_isPressed(word),
+        .exhausted = RateState_isExhausted(state),
     };
     RateVerdict_t verdict = {.by = "share"};
-    verdict.age_ms = word->word_ms > 0 ? now_ms - word->word_ms : 0;
-    verdict.admitted = OwnShare_take(&word->share, &facts, units, now_ms);
+    verdict.age_ms = state->reply_ms > 0 ? now_ms - state->reply_ms : 0;
+    verdict.admitted = LocalShare_take(&state->share, &input, units, now_ms);
     if (verdict.admitted) {
-        OwnShare_note(&word->share, units, now_ms);
-        word->untold += units;
+        LocalShare_noteAdmitted(&state->share, units, now_ms);
+        state->unreported += units;
     }
     else {
-        verdict.retry_after_ms = OwnShare_refuse(&word->share, units, now_ms);
+        verdict.retry_after_ms =
+            LocalShare_noteRefused(&state->share, units, now_ms);
     }
-    verdict.left = word->share.bucket.level;
+    verdict.left = state->share.bucket.level;
     return verdict;
 }
 
 static void
-end_alone(RateAsk_t *ask)
+finish_from_share(RateQuery_t *query)
 {
-    RateKeeper_t *this = ask->asker;
-    RateRequest_t request = RateAsk_request(ask);
-    RateWord_t *word = RateWords_of(this->words, request.subject);
-    RateVerdict_t verdict = decide_alone(this, word, &request);
-    RateAsks_finish(this->asks, ask, &verdict);
+    RateKeeper_t *this = query->requester;
+    RateRequest_t request = RateQuery_request(query);
+    RateState_t *state = RateStates_get(this->states, request.subject);
+    RateVerdict_t verdict = decide_from_share(this, state, &request);
+    RateQueries_finish(this->queries, query, &verdict);
 }
 
-/* The routers that live are known now. */
+/* The probes have shown by now which candidates are alive. */
 static void
-ask_again(RateAsk_t *ask)
+retry_query(RateQuery_t *query)
 {
-    RateKeeper_t *this = ask->asker;
-    RateRequest_t request = RateAsk_request(ask);
-    RateWord_t *word = RateWords_of(this->words, request.subject);
-    guint64 keeper = RateRoll_keeper(this->roll, request.subject);
-    if (keeper == RATE_NOBODY) {
-        end_alone(ask);
+    RateKeeper_t *this = query->requester;
+    RateRequest_t request = RateQuery_request(query);
+    RateState_t *state = RateStates_get(this->states, request.subject);
+    guint64 keeper =
+        RateCandidates_findKeeper(this->candidates, request.subject);
+    if (keeper == RATE_NO_ROUTER) {
+        finish_from_share(query);
     }
     else if (keeper == RATE_SELF) {
-        RateVerdict_t verdict = decide_here(this, word, &request);
-        RateAsks_finish(this->asks, ask, &verdict);
+        RateVerdict_t verdict = decide_locally(this, state, &request);
+        RateQueries_finish(this->queries, query, &verdict);
     }
     else {
-        RateClaim_t claim = RateWord_claim(word, &request);
-        RateAsks_wait(this->asks, ask, RATE_STEP_ASKED_AGAIN);
-        RateLinks_ask(&this->links, keeper, &claim, ask->ticket);
+        RateClaim_t claim = RateState_createClaim(state, &request);
+        RateQueries_awaitReply(this->queries, query, RATE_STEP_RETRIED);
+        RateLinks_sendQuery(&this->links, keeper, &claim, query->ticket);
     }
 }
 
-/* A router is passed over only if a sign of life is missing as well: an answer
- * may be lost. */
+/* A reply may be lost, so a router is skipped only if its reply to a probe is
+ * missing as well. */
 static void
-go_on_late(RateAsk_t *ask)
+handle_timeout(RateQuery_t *query)
 {
-    RateKeeper_t *this = ask->asker;
-    RateVerdict_t nothing = {0};
-    if (ask->cancelled) {
-        RateAsks_finish(this->asks, ask, &nothing);
+    RateKeeper_t *this = query->requester;
+    RateVerdict_t no_verdict = {0};
+    if (query->cancelled) {
+        RateQueries_finish(this->queries, query, &no_verdict);
     }
-    else if (ask->step == RATE_STEP_ASKED) {
-        count_ask(this, "outcome=\"unanswered\"");
-        RateRoll_call(this->roll, ask->subject->str);
-        RateAsks_wait(this->asks, ask, RATE_STEP_ROLL_CALLED);
+    else if (query->step == RATE_STEP_QUERIED) {
+        count_query(this, "outcome=\"unanswered\"");
+        RateCandidates_probe(this->candidates, query->subject->str);
+        RateQueries_awaitReply(this->queries, query, RATE_STEP_PROBED);
     }
-    else if (ask->step == RATE_STEP_ROLL_CALLED) {
-        ask_again(ask);
+    else if (query->step == RATE_STEP_PROBED) {
+        retry_query(query);
     }
     else {
-        end_alone(ask);
+        finish_from_share(query);
     }
 }
 
 static void
-report(RateKeeper_t *this, RateWord_t *word, const RateRequest_t *request)
+send_report(RateKeeper_t *this, RateState_t *state,
+            const RateRequest_t *request)
 {
-    guint64 keeper = RateRoll_keeper(this->roll, request->subject);
-    if (keeper == RATE_NOBODY) {
+    guint64 keeper =
+        RateCandidates_findKeeper(this->candidates, request->subject);
+    if (keeper == RATE_NO_ROUTER) {
         return;
     }
-    RateRequest_t nothing = *request;
-    nothing.units = 0;
-    RateClaim_t claim = RateWord_claim(word, &nothing);
+    RateRequest_t report = *request;
+    report.units = 0;
+    RateClaim_t claim = RateState_createClaim(state, &report);
     if (keeper == RATE_SELF) {
-        RateCounts_rule(this->counts, &claim);
+        RateLocalCounts_decide(this->counts, &claim);
         return;
     }
-    if (word->told_ms == 0) {
-        word->told_ms = Clock_nowMs();
+    if (state->reported_ms == 0) {
+        state->reported_ms = Clock_nowMs();
     }
-    RateLinks_ask(&this->links, keeper, &claim,
-                  RateLinks_nextTicket(&this->links));
-    count_ask(this, "outcome=\"told\"");
+    RateLinks_sendQuery(&this->links, keeper, &claim,
+                        RateLinks_nextTicket(&this->links));
+    count_query(this, "outcome=\"told\"");
 }
 
 static void
-report_sometimes(RateKeeper_t *this, RateWord_t *word,
-                 const RateRequest_t *request)
+report_if_due(RateKeeper_t *this, RateState_t *state,
+              const RateRequest_t *request)
 {
     double depth = TokenBucket_depth(&request->limit);
-    if (fabs(word->untold) * count_routers(this) >= depth * UNTOLD_PART) {
-        report(this, word, request);
+    if (fabs(state->unreported) * count_routers(this) >=
+        depth * REPORT_FRACTION) {
+        send_report(this, state, request);
     }
 }
 
 static RateVerdict_t
-go_on_open(RateKeeper_t *this, RateWord_t *word, const RateRequest_t *request,
-           gint64 now_ms)
+admit_without_query(RateKeeper_t *this, RateState_t *state,
+                    const RateRequest_t *request, gint64 now_ms)
 {
     RateVerdict_t verdict = {
         .admitted = TRUE,
         .by = "open",
-        .age_ms = now_ms - word->word_ms,
+        .age_ms = now_ms - state->reply_ms,
     };
-    OwnShare_note(&word->share, request->units, now_ms);
-    word->untold += request->units;
-    report_sometimes(this, word, request);
+    LocalShare_noteAdmitted(&state->share, request->units, now_ms);
+    state->unreported += request->units;
+    report_if_due(this, state, request);
     return verdict;
 }
 
-static RateAsk_t *
-ask_keeper(RateKeeper_t *this, RateWord_t *word, const RateRequest_t *request,
-           guint64 keeper)
+static RateQuery_t *
+query_keeper(RateKeeper_t *this, RateState_t *state,
+             const RateRequest_t *request, guint64 keeper)
 {
-    RateAsk_t *ask = RateAsks_add(this->asks, this, request);
-    RateClaim_t claim = RateWord_claim(word, request);
-    word->told_ms = 0;
-    RateLinks_ask(&this->links, keeper, &claim, ask->ticket);
-    return ask;
+    RateQuery_t *query = RateQueries_add(this->queries, this, request);
+    RateClaim_t claim = RateState_createClaim(state, request);
+    state->reported_ms = 0;
+    RateLinks_sendQuery(&this->links, keeper, &claim, query->ticket);
+    return query;
 }
 
-static RateAsk_t *
-enter(RateLimits_t *super, const RateRequest_t *request, RateVerdict_t *out,
-      RateDone_t done, void *owner)
+static RateQuery_t *
+acquire(RateLimits_t *super, const RateRequest_t *request, RateVerdict_t *out,
+        RateDone_t done, void *owner)
 {
     RateKeeper_t *this = (RateKeeper_t *)super;
-    RateWord_t *word = RateWords_of(this->words, request->subject);
+    RateState_t *state = RateStates_get(this->states, request->subject);
     gint64 now_ms = Clock_nowMs();
-    guint64 keeper = RateRoll_keeper(this->roll, request->subject);
+    guint64 keeper =
+        RateCandidates_findKeeper(this->candidates, request->subject);
     if (keeper == RATE_SELF) {
-        *out = decide_here(this, word, request);
+        *out = decide_locally(this, state, request);
         return NULL;
     }
-    if (RateWord_isOpen(word, &request->limit, now_ms)) {
-        *out = go_on_open(this, word, request, now_ms);
+    if (RateState_isOpen(state, &request->limit, now_ms)) {
+        *out = admit_without_query(this, state, request, now_ms);
         return NULL;
     }
-    if (keeper == RATE_NOBODY) {
-        RateRoll_call(this->roll, request->subject);
-        *out = decide_alone(this, word, request);
+    if (keeper == RATE_NO_ROUTER) {
+        RateCandidates_probe(this->candidates, request->subject);
+        *out = decide_from_share(this, state, request);
         return NULL;
     }
-    RateAsk_t *ask = ask_keeper(this, word, request, keeper);
-    ask->done = done;
-    ask->owner = owner;
-    return ask;
+    RateQuery_t *query = query_keeper(this, state, request, keeper);
+    query->done = done;
+    query->owner = owner;
+    return query;
 }
 
-/* The answer is awaited all the same: what it lets in is given back. */
+/* Keeps the query pending: units that a late reply grants are refunded. */
 static void
-cancel(RateAsk_t *ask)
+cancel(RateQuery_t *query)
 {
-    ask->cancelled = TRUE;
+    query->cancelled = TRUE;
 }
 
 static void
-give_back(RateLimits_t *super, const RateRequest_t *request)
+refund(RateLimits_t *super, const RateRequest_t *request)
 {
     RateKeeper_t *this = (RateKeeper_t *)super;
-    RateWord_t *word = RateWords_of(this->words, request->subject);
-    OwnShare_note(&word->share, -request->units, Clock_nowMs());
-    word->untold -= request->units;
-    report_sometimes(this, word, request);
+    RateState_t *state = RateStates_get(this->states, request->subject);
+    LocalShare_noteAdmitted(&state->share, -request->units, Clock_nowMs());
+    state->unreported -= request->units;
+    report_if_due(this, state, request);
 }
 
 static gboolean
-is_amount(double value)
+is_valid_amount(double value)
 {
     return isfinite(value) && value >= 0;
 }
 
-/* A router of another build may say anything. */
+/* Checks the values of a query, as a router of another build may send any. */
 static gboolean
-is_sound(const Wt__RateAsk *ask)
+is_valid_query(const Wt__RateAsk *query)
 {
-    return is_amount(ask->per_s) && ask->per_s > 0 && is_amount(ask->burst) &&
-           is_amount(ask->units) && isfinite(ask->spent);
+    return is_valid_amount(query->per_s) && query->per_s > 0 &&
+           is_valid_amount(query->burst) && is_valid_amount(query->units) &&
+           isfinite(query->spent);
 }
 
 static void
-decide_for(RateKeeper_t *this, const Wt__RateAsk *ask, guint64 from)
+decide_query(RateKeeper_t *this, const Wt__RateAsk *query, guint64 from)
 {
-    guint64 better = RateRoll_better(this->roll, ask->subject, from);
-    if (better != RATE_SELF) {
-        RateCounts_drop(this->counts, ask->subject);
-        RateLinks_sendOn(&this->links, from, ask, better);
-        count_ask(this, "outcome=\"sent_on\"");
+    guint64 higher_ranked = RateCandidates_findHigherRanked(
+        this->candidates, query->subject, from);
+    if (higher_ranked != RATE_SELF) {
+        RateLocalCounts_remove(this->counts, query->subject);
+        RateLinks_sendRedirect(&this->links, from, query, higher_ranked);
+        count_query(this, "outcome=\"sent_on\"");
         return;
     }
     RateClaim_t claim = {
-        .subject = ask->subject,
-        .limit = {ask->per_s, ask->burst, ask->version, ask->exact},
-        .units = ask->units,
-        .spent = ask->spent,
-        .pressed = ask->pressed,
+        .subject = query->subject,
+        .limit = {query->per_s, query->burst, query->version, query->exact},
+        .units = query->units,
+        .spent = query->spent,
+        .exhausted = query->pressed,
         .from = from,
     };
-    RateRuling_t ruling = RateCounts_rule(this->counts, &claim);
-    RateLinks_answer(&this->links, from, ask->subject, ask->ticket, &ruling);
+    RateDecision_t decision = RateLocalCounts_decide(this->counts, &claim);
+    RateLinks_sendReply(&this->links, from, query->subject, query->ticket,
+                        &decision);
 }
 
-/* A question about nobody asks for a sign of life. */
+/* A query without a subject is a probe. */
 static void
-take_ask(RateKeeper_t *this, const Wt__RateAsk *ask, guint64 from)
+receive_query(RateKeeper_t *this, const Wt__RateAsk *query, guint64 from)
 {
-    if (*ask->subject == '\0') {
-        RateLinks_show(&this->links, from, ask->ticket);
+    if (*query->subject == '\0') {
+        RateLinks_sendProbeReply(&this->links, from, query->ticket);
     }
-    else if (is_sound(ask)) {
-        decide_for(this, ask, from);
+    else if (is_valid_query(query)) {
+        decide_query(this, query, from);
     }
     else {
-        count_ask(this, "outcome=\"not_understood\"");
+        count_query(this, "outcome=\"not_understood\"");
     }
 }
 
 static void
-take_word(RateKeeper_t *this, const Wt__RateAnswer *answer,
-          const RateAsk_t *ask)
+apply_reply(RateKeeper_t *this, const Wt__RateAnswer *reply,
+            const RateQuery_t *query)
 {
-    RateWord_t *word = RateWords_find(this->words, answer->subject);
-    if (!word) {
+    RateState_t *state = RateStates_find(this->states, reply->subject);
+    if (!state) {
         return;
     }
-    RateWord_note(word, answer->open, answer->left);
-    word->told_ms = 0;
-    if (ask) {
-        word->version = ask->limit.version;
+    RateState_noteReply(state, reply->open, reply->left);
+    state->reported_ms = 0;
+    if (query) {
+        state->version = query->limit.version;
     }
 }
 
 static void
-take_verdict(RateKeeper_t *this, RateAsk_t *ask, const Wt__RateAnswer *answer)
+finish_query(RateKeeper_t *this, RateQuery_t *query,
+             const Wt__RateAnswer *reply)
 {
     RateVerdict_t verdict = {
-        .admitted = answer->admitted,
-        .retry_after_ms = answer->retry_after_ms,
+        .admitted = reply->admitted,
+        .retry_after_ms = reply->retry_after_ms,
         .by = "keeper",
-        .left = answer->left,
+        .left = reply->left,
     };
-    RateWord_t *word = RateWords_of(this->words, ask->subject->str);
-    if (ask->cancelled && answer->admitted) {
-        word->untold -= ask->units;
+    RateState_t *state = RateStates_get(this->states, query->subject->str);
+    if (query->cancelled && reply->admitted) {
+        state->unreported -= query->units;
     }
-    else if (answer->admitted) {
-        OwnShare_note(&word->share, ask->units, Clock_nowMs());
+    else if (reply->admitted) {
+        LocalShare_noteAdmitted(&state->share, query->units, Clock_nowMs());
     }
-    RateAsks_finish(this->asks, ask, &verdict);
+    RateQueries_finish(this->queries, query, &verdict);
 }
 
-/* The router that comes first answers others, so that it is not passed over
- * any more. One question is sent on once; what was told is told there. */
+/* Another router has received messages of the redirect's target, so the target
+ * is no longer skipped. A query follows one redirect at most. Its new claim
+ * reports what was admitted since the previous one. */
 static void
-go_elsewhere(RateKeeper_t *this, const Wt__RateAnswer *answer, RateAsk_t *ask)
+follow_redirect(RateKeeper_t *this, const Wt__RateAnswer *reply,
+                RateQuery_t *query)
 {
-    RateWord_t *word = RateWords_find(this->words, answer->subject);
-    RateRoll_trust(this->roll, answer->elsewhere);
-    if (word) {
-        word->open = FALSE;
-        word->told_ms = 0;
+    RateState_t *state = RateStates_find(this->states, reply->subject);
+    RateCandidates_clearSilent(this->candidates, reply->elsewhere);
+    if (state) {
+        state->open = FALSE;
+        state->reported_ms = 0;
     }
-    if (!ask || ask->was_sent_on) {
+    if (!query || query->was_redirected) {
         return;
     }
-    RateRequest_t request = RateAsk_request(ask);
-    RateClaim_t claim =
-        RateWord_claim(RateWords_of(this->words, request.subject), &request);
-    ask->was_sent_on = TRUE;
-    RateLinks_ask(&this->links, answer->elsewhere, &claim, ask->ticket);
+    RateRequest_t request = RateQuery_request(query);
+    RateClaim_t claim = RateState_createClaim(
+        RateStates_get(this->states, request.subject), &request);
+    query->was_redirected = TRUE;
+    RateLinks_sendQuery(&this->links, reply->elsewhere, &claim, query->ticket);
 }
 
 static void
-take_answer(RateKeeper_t *this, const Wt__RateAnswer *answer)
+receive_reply(RateKeeper_t *this, const Wt__RateAnswer *reply)
 {
-    if (*answer->subject == '\0') {
-        RateCounts_noteAnswer(this->counts, answer->ticket);
+    if (*reply->subject == '\0') {
+        RateLocalCounts_noteProbeReply(this->counts, reply->ticket);
         return;
     }
-    RateAsk_t *ask = RateAsks_find(this->asks, answer->ticket);
-    if (answer->elsewhere != RATE_SELF) {
-        go_elsewhere(this, answer, ask);
+    RateQuery_t *query = RateQueries_find(this->queries, reply->ticket);
+    if (reply->elsewhere != RATE_SELF) {
+        follow_redirect(this, reply, query);
         return;
     }
-    take_word(this, answer, ask);
-    if (ask) {
-        count_ask(this, "outcome=\"answered\"");
-        take_verdict(this, ask, answer);
+    apply_reply(this, reply, query);
+    if (query) {
+        count_query(this, "outcome=\"answered\"");
+        finish_query(this, query, reply);
     }
 }
 
 void
-RateKeeper_take(RateKeeper_t *this, const Wt__PeerMessage *message,
-                guint64 from)
+RateKeeper_receive(RateKeeper_t *this, const Wt__PeerMessage *message,
+                   guint64 from)
 {
-    RateRoll_noteHeard(this->roll, from);
+    RateCandidates_noteSeen(this->candidates, from);
     if (message->body_case == WT__PEER_MESSAGE__BODY_RATE_ASK) {
-        take_ask(this, message->rate_ask, from);
+        receive_query(this, message->rate_ask, from);
     }
     else if (message->body_case == WT__PEER_MESSAGE__BODY_RATE_ANSWER) {
-        take_answer(this, message->rate_answer);
+        receive_reply(this, message->rate_answer);
     }
 }
 
 static void
-go_on_with_late(RateKeeper_t *this, gint64 now_ms)
+handle_timeouts(RateKeeper_t *this, gint64 now_ms)
 {
-    RateAsk_t *ask = RateAsks_firstLate(this->asks, now_ms);
-    while (ask) {
-        go_on_late(ask);
-        ask = RateAsks_firstLate(this->asks, now_ms);
+    RateQuery_t *query = RateQueries_firstOverdue(this->queries, now_ms);
+    while (query) {
+        handle_timeout(query);
+        query = RateQueries_firstOverdue(this->queries, now_ms);
     }
 }
 
 static void
-wake_again(const RateKeeper_t *this, gint64 now_ms)
+schedule_tick(const RateKeeper_t *this, gint64 now_ms)
 {
-    gint64 due_ms = RateCounts_dueMs(this->counts);
-    RateAsks_wakeAgain(this->asks, now_ms);
-    if (RateRoll_isWaiting(this->roll)) {
-        RateLinks_wake(&this->links, RATE_WAIT_MS);
+    gint64 due_ms = RateLocalCounts_dueMs(this->counts);
+    RateQueries_scheduleTick(this->queries, now_ms);
+    if (RateCandidates_isWaiting(this->candidates)) {
+        RateLinks_scheduleTick(&this->links, RATE_REPLY_TIMEOUT_MS);
     }
     if (due_ms > 0) {
-        RateLinks_wake(&this->links, due_ms - now_ms);
+        RateLinks_scheduleTick(&this->links, due_ms - now_ms);
     }
 }
 
@@ -400,28 +413,28 @@
 RateKeeper_tick(RateKeeper_t *this)
 {
     gint64 now_ms = Clock_nowMs();
-    RateCounts_tick(this->counts, now_ms);
-    RateRoll_expire(this->roll, now_ms);
-    go_on_with_late(this, now_ms);
-    wake_again(this, now_ms);
+    RateLocalCounts_tick(this->counts, now_ms);
+    RateCandidates_expireProbes(this->candidates, now_ms);
+    handle_timeouts(this, now_ms);
+    schedule_tick(this, now_ms);
 }
 
 static void
 destroy(RateLimits_t *super)
 {
     RateKeeper_t *this = (RateKeeper_t *)super;
-    RateAsks_destroy(this->asks);
-    RateWords_destroy(this->words);
-    RateCounts_destroy(this->counts);
-    RateRoll_destroy(this->roll);
+    RateQueries_destroy(this->queries);
+    RateStates_destroy(this->states);
+    RateLocalCounts_destroy(this->counts);
+    RateCandidates_destroy(this->candidates);
     g_free(this);
 }
 
 static const RateLimitsClass_t class = {
     .name = "ask",
-    .enter = enter,
+    .acquire = acquire,
     .cancel = cancel,
-    .give_back = give_back,
+    .refund = refund,
     .destroy = destroy,
 };
 
@@ -433,10 +446,10 @@
     this->super.class = &class;
     this->links = (RateLinks_t){.class = links, .owner = owner};
     this->counters = counters;
-    this->roll = RateRoll_create(&this->links, counters);
-    this->counts = RateCounts_create(&this->links, this->roll);
-    this->words = RateWords_create();
-    this->asks = RateAsks_create(&this->links);
+    this->candidates = RateCandidates_create(&this->links, counters);
+    this->counts = RateLocalCounts_create(&this->links, this->candidates);
+    this->states = RateStates_create();
+    this->queries = RateQueries_create(&this->links);
     return this;
 }
 
--- a/src/RateKeeper.h
+++ b/src/RateKeeper.h
@@ -3,41 +3,52 @@
 /**
  * DOC: RateKeeper
  *
- * The way with a keeper: for each subject one router, first in rank, keeps
- * the count for all (RateCounts.h), and the others ask it. While much is left
- * a request goes on at once and is told afterwards, so that only those of a
- * subject near its limit wait for an answer. The keeper tells who has asked
- * when that ends. For a limit that is exact every request is asked for.
+ * Rate limit strategy with a keeper: for each subject one router, the
+ * highest-ranked candidate, keeps the count for all routers
+ * (RateLocalCounts.h), and the other routers query it. While much of a limit
+ * is left, the limit is open: a request proceeds at once and is reported
+ * afterwards. Only the requests of a subject near its limit wait for a reply.
+ * The keeper notifies the routers that have queried it when a limit is no
+ * longer open. An exact limit is never open: each request sends a query.
  *
- * Messages grow with the requests of subjects that have a limit, not with the
- * routers nor with the subjects. A keeper that does not answer is left for
- * the next in rank until it is heard of (RateRoll.h); a router that reaches
- * none goes on with a share of its own (OwnShare.h). Who is asked though
- * others come before it looks whether they live, and sends the asker there:
- * without that, routers that found different ones silent kept several counts
- * beside each other, each of which let in the whole limit. Where routers are
- * cut apart each part has its keeper: while a subject is near its limit, a
- * keeper asks routers drawn by chance for a sign of life, and lets in as much
- * of the limit as it reaches of them (Reach.h).
+ * The number of messages grows with the requests of limited subjects, not with
+ * the number of routers or subjects.
+ *
+ * A keeper that does not reply is replaced by the next candidate in rank until
+ * a message of it is received (RateCandidates.h). A router that reaches no
+ * candidate uses a share of the limit (LocalShare.h).
+ *
+ * A router that is queried although other candidates rank above it checks
+ * whether these are alive, and redirects the requester to one that is.
+ * Otherwise routers that found different candidates silent would keep several
+ * counts of one subject, each of which admits the whole limit.
+ *
+ * In a partitioned network each part has its own keeper. While a subject is
+ * near its limit, a keeper probes a random sample of routers and admits only
+ * the fraction of the limit that equals the fraction of routers it reaches
+ * (Reach.h).
  */
+#include "RateCandidates.h"
 #include "RateLimits.h"
-#include "RateRoll.h"
 
 /** struct RateKeeper_t - opaque */
 typedef struct RateKeeper RateKeeper_t;
 
-/** RateKeeper_create() - nothing is known; all must outlive it */
+/** RateKeeper_create() - start without counts; all arguments must outlive it
+ */
 RateKeeper_t *RateKeeper_create(const RateLinksClass_t *links, void *owner,
                                 Counters_t *counters);
 
-/** RateKeeper_limits() - itself as a way, which is what frees it */
+/** RateKeeper_limits() - the strategy; RateLimits_destroy() on it frees the
+ * keeper */
 RateLimits_t *RateKeeper_limits(RateKeeper_t *this);
 
-/** RateKeeper_take() - a message of another router; others are passed over */
-void RateKeeper_take(RateKeeper_t *this, const Wt__PeerMessage *message,
-                     guint64 from);
+/** RateKeeper_receive() - handle a message of another router; messages of
+ * other kinds are ignored */
+void RateKeeper_receive(RateKeeper_t *this, const Wt__PeerMessage *message,
+                        guint64 from);
 
-/** RateKeeper_tick() - do what is due */
+/** RateKeeper_tick() - handle expired timeouts and due checks */
 void RateKeeper_tick(RateKeeper_t *this);
 
 #endif
--- a/src/RateLimits.h
+++ b/src/RateLimits.h
@@ -3,20 +3,20 @@
 /**
  * DOC: RateLimits
  *
- * Whether a limit leaves room for a request. A limit is one of a customer or
- * of an upstream, its subject, and holds for all routers together; there is a
- * way for each answer to who knows what the others have let in, behind one
- * table of functions.
+ * Decides whether a rate limit admits a request. A limit belongs to a subject,
+ * which is a customer or an upstream, and holds for all routers together. How
+ * the routers count together what they admit is a strategy behind a table of
+ * functions: see RateKeeper.h and RateShare.h.
  */
 #include <glib.h>
 
 #include "TokenBucket.h"
 
 /**
- * struct RateRequest_t - a request that is to be let in
- * @subject: whose limit it is
- * @limit: without a rate every request is let in
- * @units: that it takes
+ * struct RateRequest_t - a request that asks for admission
+ * @subject: customer or upstream that the limit belongs to
+ * @limit: the subject's limit; every request is admitted if it has no rate
+ * @units: units that the request takes
  */
 typedef struct {
     const char *subject;
@@ -25,14 +25,15 @@
 } RateRequest_t;
 
 /**
- * struct RateVerdict_t - what came of it
- * @admitted: it may go on
- * @retry_after_ms: when one that may not should come back
- * @by: by whose word: "self" for this router's count for all, "keeper" for
- * that of another, "open" for a word that its keeper gave before, "share" for
- *     this router's own part
- * @age_ms: of that word
- * @left: units; below 0 while some are owed
+ * struct RateVerdict_t - whether a request is admitted
+ * @admitted: the request may proceed
+ * @retry_after_ms: when a request that is not admitted may be retried
+ * @by: what the decision rests on: "self" for the count that this router keeps
+ *     for all, "keeper" for a reply of the router that keeps the count, "open"
+ *     for an earlier reply of it, "share" for this router's share, "no_limit"
+ *     for a request without a limit
+ * @age_ms: age of the reply that the decision rests on
+ * @left: units left; below 0 while the count is in debt
  */
 typedef struct {
     gboolean admitted;
@@ -42,55 +43,59 @@
     double left;
 } RateVerdict_t;
 
-/** RateDone_t - called once for a question that was not cancelled */
+/** RateDone_t - called once for a query that was not cancelled */
 typedef void (*RateDone_t)(void *owner, const RateVerdict_t *verdict);
 
-/** struct RateAsk_t - a question under way; opaque */
-typedef struct RateAsk RateAsk_t;
+/** struct RateQuery_t - a pending query; opaque */
+typedef struct RateQuery RateQuery_t;
 
 typedef struct RateLimits RateLimits_t;
 
 /**
- * struct RateLimitsClass_t - one way
- * @name: for the log
- * @enter: see RateLimits_enter()
- * @cancel: see RateLimits_cancel(); NULL where nothing is ever asked
- * @give_back: see RateLimits_giveBack()
+ * struct RateLimitsClass_t - functions of one strategy
+ * @name: name of the strategy in the log
+ * @acquire: see RateLimits_acquire()
+ * @cancel: see RateLimits_cancel(); NULL if @acquire always decides at once
+ * @refund: see RateLimits_refund()
  * @destroy: free it
  */
 typedef struct {
     const char *name;
-    RateAsk_t *(*enter)(RateLimits_t *this, const RateRequest_t *request,
-                        RateVerdict_t *out, RateDone_t done, void *owner);
-    void (*cancel)(RateAsk_t *ask);
-    void (*give_back)(RateLimits_t *this, const RateRequest_t *request);
+    RateQuery_t *(*acquire)(RateLimits_t *this, const RateRequest_t *request,
+                            RateVerdict_t *out, RateDone_t done, void *owner);
+    void (*cancel)(RateQuery_t *query);
+    void (*refund)(RateLimits_t *this, const RateRequest_t *request);
     void (*destroy)(RateLimits_t *this);
 } RateLimitsClass_t;
 
-/** struct RateLimits_t - extended by each way */
+/** struct RateLimits_t - base of all strategies */
 struct RateLimits {
     const RateLimitsClass_t *class;
 };
 
 /**
- * RateLimits_enter() - whether a request may go on
- * @request: may be gone when the answer comes
- * @out: set where it is known at once
- * @done: else called with it, not before the return
- * @owner: for @done
+ * RateLimits_acquire() - decide whether a request is admitted
+ * @request: need not outlive the call, also if the verdict comes later
+ * @out: set if the verdict is known at once
+ * @done: otherwise called with the verdict, after this function has returned
+ * @owner: first argument of @done
  *
- * Return: NULL where @out is set
+ * Return: NULL if @out is set, otherwise the pending query
  */
-RateAsk_t *RateLimits_enter(RateLimits_t *this, const RateRequest_t *request,
-                            RateVerdict_t *out, RateDone_t done, void *owner);
+RateQuery_t *RateLimits_acquire(RateLimits_t *this,
+                                const RateRequest_t *request,
+                                RateVerdict_t *out, RateDone_t done,
+                                void *owner);
 
-/** RateLimits_cancel() - forget a question; what it takes is given back */
-void RateLimits_cancel(RateLimits_t *this, RateAsk_t *ask);
+/** RateLimits_cancel() - cancel a query; units that a late reply grants are
+ * refunded */
+void RateLimits_cancel(RateLimits_t *this, RateQuery_t *query);
 
-/** RateLimits_giveBack() - a request that was let in has not run */
-void RateLimits_giveBack(RateLimits_t *this, const RateRequest_t *request);
+/** RateLimits_refund() - return the units of an admitted request that has not
+ * run */
+void RateLimits_refund(RateLimits_t *this, const RateRequest_t *request);
 
-/** RateLimits_destroy() - free it; no question may be open */
+/** RateLimits_destroy() - free it; no query may be pending */
 void RateLimits_destroy(RateLimits_t *this);
 
 #endif
--- a/src/RateLinks.c
+++ b/src/RateLinks.c
@@ -2,15 +2,15 @@
 
 guint
 RateLinks_candidates(const RateLinks_t *this, const char *subject,
-                     guint64 out[RATE_CANDIDATES])
+                     guint64 out[RATE_CANDIDATES_MAX])
 {
     return this->class->candidates(this->owner, subject, out);
 }
 
 void
-RateLinks_wake(const RateLinks_t *this, gint64 in_ms)
+RateLinks_scheduleTick(const RateLinks_t *this, gint64 in_ms)
 {
-    this->class->wake(this->owner, in_ms);
+    this->class->schedule_tick(this->owner, in_ms);
 }
 
 guint64
@@ -20,8 +20,8 @@
 }
 
 void
-RateLinks_ask(const RateLinks_t *this, guint64 router,
-              const RateClaim_t *claim, guint64 ticket)
+RateLinks_sendQuery(const RateLinks_t *this, guint64 router,
+                    const RateClaim_t *claim, guint64 ticket)
 {
     Wt__RateAsk ask = WT__RATE_ASK__INIT;
     Wt__PeerMessage message = WT__PEER_MESSAGE__INIT;
@@ -32,7 +32,7 @@
     ask.burst = claim->limit.burst;
     ask.units = claim->units;
     ask.spent = claim->spent;
-    ask.pressed = claim->pressed;
+    ask.pressed = claim->exhausted;
     ask.exact = claim->limit.exact;
     message.body_case = WT__PEER_MESSAGE__BODY_RATE_ASK;
     message.rate_ask = &ask;
@@ -40,50 +40,52 @@
 }
 
 void
-RateLinks_probe(const RateLinks_t *this, guint64 router, guint64 ticket)
+RateLinks_sendProbe(const RateLinks_t *this, guint64 router, guint64 ticket)
 {
-    RateClaim_t nobody = {.subject = ""};
-    RateLinks_ask(this, router, &nobody, ticket);
+    RateClaim_t no_subject = {.subject = ""};
+    RateLinks_sendQuery(this, router, &no_subject, ticket);
 }
 
 static void
-send_answer(const RateLinks_t *this, guint64 router, Wt__RateAnswer *answer)
+send_reply(const RateLinks_t *this, guint64 router, Wt__RateAnswer *reply)
 {
     Wt__PeerMessage message = WT__PEER_MESSAGE__INIT;
     message.body_case = WT__PEER_MESSAGE__BODY_RATE_ANSWER;
-    message.rate_answer = answer;
+    message.rate_answer = reply;
     this->class->send(this->owner, router, &message);
 }
 
 void
-RateLinks_show(const RateLinks_t *this, guint64 router, guint64 ticket)
+RateLinks_sendProbeReply(const RateLinks_t *this, guint64 router,
+                         guint64 ticket)
 {
-    Wt__RateAnswer answer = WT__RATE_ANSWER__INIT;
-    answer.ticket = ticket;
-    send_answer(this, router, &answer);
+    Wt__RateAnswer reply = WT__RATE_ANSWER__INIT;
+    reply.ticket = ticket;
+    send_reply(this, router, &reply);
 }
 
 void
-RateLinks_answer(const RateLinks_t *this, guint64 router, const char *subject,
-                 guint64 ticket, const RateRuling_t *ruling)
+RateLinks_sendReply(const RateLinks_t *this, guint64 router,
+                    const char *subject, guint64 ticket,
+                    const RateDecision_t *decision)
 {
-    Wt__RateAnswer answer = WT__RATE_ANSWER__INIT;
-    answer.ticket = ticket;
-    answer.subject = (char *)subject;
-    answer.admitted = ruling->admitted;
-    answer.open = ruling->open;
-    answer.retry_after_ms = ruling->retry_after_ms;
-    answer.left = ruling->left;
-    send_answer(this, router, &answer);
+    Wt__RateAnswer reply = WT__RATE_ANSWER__INIT;
+    reply.ticket = ticket;
+    reply.subject = (char *)subject;
+    reply.admitted = decision->admitted;
+    reply.open = decision->open;
+    reply.retry_after_ms = decision->retry_after_ms;
+    reply.left = decision->left;
+    send_reply(this, router, &reply);
 }
 
 void
-RateLinks_sendOn(const RateLinks_t *this, guint64 router,
-                 const Wt__RateAsk *ask, guint64 better)
+RateLinks_sendRedirect(const RateLinks_t *this, guint64 router,
+                       const Wt__RateAsk *ask, guint64 target)
 {
-    Wt__RateAnswer answer = WT__RATE_ANSWER__INIT;
-    answer.ticket = ask->ticket;
-    answer.subject = ask->subject;
-    answer.elsewhere = better;
-    send_answer(this, router, &answer);
+    Wt__RateAnswer reply = WT__RATE_ANSWER__INIT;
+    reply.ticket = ask->ticket;
+    reply.subject = ask->subject;
+    reply.elsewhere = target;
+    send_reply(this, router, &reply);
 }
--- a/src/RateLinks.h
+++ b/src/RateLinks.h
@@ -3,49 +3,50 @@
 /**
  * DOC: RateLinks
  *
- * What routers that keep counts of limits for each other (RateKeeper.h) see of
- * one another: who may keep a count, and what is sent to whom. How it is sent
- * is a table of functions.
+ * How routers that keep counts of limits for each other (RateKeeper.h) see and
+ * reach one another: which routers may keep a count, and the messages between
+ * them. The transport is a table of functions.
  */
-#include "RateBook.h"
+#include "RateCountTable.h"
 #include "Reach.h"
 #include "peer.pb-c.h"
 
-/** How long a router waits for an answer, in ms: the round trip between
- * halls, twice, and a turn of a busy loop */
-#define RATE_WAIT_MS 25
+/** How long a router waits for a reply, in ms: twice the round trip between
+ * halls, and one iteration of a busy event loop */
+#define RATE_REPLY_TIMEOUT_MS 25
 
-/** Identity of this router among those that may keep a count */
+/** Identity of this router among the candidates */
 #define RATE_SELF 0
 
-/** How many may keep a subject's count; of a part with two in five of the
- * routers it has one at least in 98 of 100 cuts */
-#define RATE_CANDIDATES 8
+/** Most candidates for keeping a subject's count. When two fifths of the
+ * routers are cut off, they include at least one of 8 candidates in 98 of 100
+ * partitions. */
+#define RATE_CANDIDATES_MAX 8
 
 /**
- * struct RateLinksClass_t - the other routers; each has an identity that is
- * not RATE_SELF
- * @candidates: those that may keep a subject's count, the first in rank
- *     first; returns how many
- * @routers: how many there are, this one included
- * @draw: some by chance
- * @send: a message, which may be lost
- * @wake: call RateKeeper_tick() in so long at the latest
+ * struct RateLinksClass_t - functions of the transport; each of the other
+ * routers has an identity that is not RATE_SELF
+ * @candidates: finds the routers that may keep a subject's count, ordered by
+ *     rank from the highest; returns their number
+ * @routers: returns the number of routers, this one included
+ * @draw_sample: draws a random sample of the other routers
+ * @send: sends a message, which may be lost
+ * @schedule_tick: schedules a call of RateKeeper_tick() after at most @in_ms
  */
 typedef struct {
     guint (*candidates)(void *owner, const char *subject,
-                        guint64 out[RATE_CANDIDATES]);
+                        guint64 out[RATE_CANDIDATES_MAX]);
     guint (*routers)(void *owner);
-    void (*draw)(void *owner, ReachSample_t *out);
+    void (*draw_sample)(void *owner, ReachSample_t *out);
     void (*send)(void *owner, guint64 router, const Wt__PeerMessage *message);
-    void (*wake)(void *owner, gint64 in_ms);
+    void (*schedule_tick)(void *owner, gint64 in_ms);
 } RateLinksClass_t;
 
 /**
- * struct RateLinks_t - the table and its owner
- * @class: how it is done
+ * struct RateLinks_t - a transport and its owner
+ * @class: functions of the transport
  * @owner: first argument of each function
- * @ticket: of the last question
+ * @ticket: ticket of the last query
  */
 typedef struct {
     const RateLinksClass_t *class;
@@ -53,34 +54,40 @@
     guint64 ticket;
 } RateLinks_t;
 
-/** RateLinks_candidates() - who may keep a subject's count; how many */
+/** RateLinks_candidates() - find the routers that may keep a subject's count;
+ * returns their number */
 guint RateLinks_candidates(const RateLinks_t *this, const char *subject,
-                           guint64 out[RATE_CANDIDATES]);
+                           guint64 out[RATE_CANDIDATES_MAX]);
 
-/** RateLinks_wake() - something is due in so long */
-void RateLinks_wake(const RateLinks_t *this, gint64 in_ms);
+/** RateLinks_scheduleTick() - schedule a call of RateKeeper_tick() after at
+ * most @in_ms */
+void RateLinks_scheduleTick(const RateLinks_t *this, gint64 in_ms);
 
-/** RateLinks_nextTicket() - of a new question */
+/** RateLinks_nextTicket() - ticket for a new query */
 guint64 RateLinks_nextTicket(RateLinks_t *this);
 
-/** RateLinks_ask() - ask or tell the keeper of a subject's count */
-void RateLinks_ask(const RateLinks_t *this, guint64 router,
-                   const RateClaim_t *claim, guint64 ticket);
+/** RateLinks_sendQuery() - send a query or a report to the router that keeps a
+ * subject's count */
+void RateLinks_sendQuery(const RateLinks_t *this, guint64 router,
+                         const RateClaim_t *claim, guint64 ticket);
 
-/** RateLinks_probe() - ask a router for a sign of life */
-void RateLinks_probe(const RateLinks_t *this, guint64 router, guint64 ticket);
+/** RateLinks_sendProbe() - ask a router for a sign of life */
+void RateLinks_sendProbe(const RateLinks_t *this, guint64 router,
+                         guint64 ticket);
 
-/** RateLinks_show() - give a sign of life */
-void RateLinks_show(const RateLinks_t *this, guint64 router, guint64 ticket);
+/** RateLinks_sendProbeReply() - reply to a probe */
+void RateLinks_sendProbeReply(const RateLinks_t *this, guint64 router,
+                              guint64 ticket);
 
-/** RateLinks_answer() - tell a router what was decided; @ticket is 0 where it
- * did not ask */
-void RateLinks_answer(const RateLinks_t *this, guint64 router,
-                      const char *subject, guint64 ticket,
-                      const RateRuling_t *ruling);
+/** RateLinks_sendReply() - send a decision to a router; @ticket is 0 if it
+ * does not reply to a query */
+void RateLinks_sendReply(const RateLinks_t *this, guint64 router,
+                         const char *subject, guint64 ticket,
+                         const RateDecision_t *decision);
 
-/** RateLinks_sendOn() - tell a router to ask another one */
-void RateLinks_sendOn(const RateLinks_t *this, guint64 router,
-                      const Wt__RateAsk *ask, guint64 better);
+/** RateLinks_sendRedirect() - reply to a query that @target has to be queried
+ * instead of this router */
+void RateLinks_sendRedirect(const RateLinks_t *this, guint64 router,
+                            const Wt__RateAsk *ask, guint64 target);
 
 #endif
--- a/src/RatePeers.c
+++ b/src/RatePeers.c
@@ -4,16 +4,18 @@
 #include "Random.h"
 #include "RateKeeper.h"
 
-/* Names of customers are cut to so many characters, alike by all routers. */
+/* Size of a hash key. Longer names of subjects are truncated, in the same way
+ * on all routers. */
 #define KEY_SIZE 128
-/* A port takes 16 bits of an identity. */
+/* Low bits of a router's identity that hold its port; the bits above hold its
+ * IP address. */
 #define PORT_BITS 16
 
 struct RatePeers {
     RatePeersSpec_t spec;
     RateKeeper_t *keeper;
     struct event *timer;
-    gint64 wakes_ms; /* when the timer fires; 0 while it rests */
+    gint64 tick_at_ms; /* when the timer fires; 0 if it is not armed */
 };
 
 static guint64
@@ -47,21 +49,22 @@
 }
 
 static guint64
-own_identity(const RatePeers_t *this)
+local_identity(const RatePeers_t *this)
 {
     struct sockaddr_in address =
         PeerDatagrams_address(Membership_address(this->spec.membership));
     return identity_of(&address);
 }
 
-/* In the same order on every router, from a place that the key names. */
+/* Lists the seeds from an index that depends on the key, in the same order on
+ * every router. */
 static guint
-find_among_seeds(const RatePeers_t *this, const char *key,
-                 guint64 out[RATE_CANDIDATES])
+find_seed_candidates(const RatePeers_t *this, const char *key,
+                     guint64 out[RATE_CANDIDATES_MAX])
 {
     guint seeds = this->spec.seeds ? this->spec.seeds->len : 0;
-    guint count = MIN(seeds, RATE_CANDIDATES);
-    guint64 own = own_identity(this);
+    guint count = MIN(seeds, RATE_CANDIDATES_MAX);
+    guint64 local = local_identity(this);
     if (count == 0) {
         out[0] = RATE_SELF;
         return 1;
@@ -69,23 +72,24 @@
     guint first = g_str_hash(key) % count;
     for (guint i = 0; i < count; i++) {
         guint64 seed = identity_of_seed(this, (first + i) % count);
-        out[i] = seed == own ? RATE_SELF : seed;
+        out[i] = seed == local ? RATE_SELF : seed;
     }
     return count;
 }
 
 static guint
-find_candidates(void *owner, const char *subject, guint64 out[RATE_CANDIDATES])
+find_candidates(void *owner, const char *subject,
+                guint64 out[RATE_CANDIDATES_MAX])
 {
     const RatePeers_t *this = owner;
-    const Member_t *first[RATE_CANDIDATES];
+    const Member_t *first[RATE_CANDIDATES_MAX];
     char key[KEY_SIZE];
     g_snprintf(key, sizeof(key), "rate/%s", subject);
     if (!Membership_isSettled(this->spec.membership)) {
-        return find_among_seeds(this, key, out);
+        return find_seed_candidates(this, key, out);
     }
-    guint count =
-        Membership_first(this->spec.membership, key, first, RATE_CANDIDATES);
+    guint count = Membership_first(this->spec.membership, key, first,
+                                   RATE_CANDIDATES_MAX);
     for (guint i = 0; i < count; i++) {
         out[i] = first[i] ? identity_of_member(first[i]) : RATE_SELF;
     }
@@ -99,9 +103,10 @@
     return Membership_live(this->spec.membership);
 }
 
-/* Evenly from a random place on, so that none is drawn twice. */
+/* Draws at even strides from a random start, so that no member is drawn twice.
+ */
 static void
-draw(void *owner, ReachSample_t *out)
+draw_sample(void *owner, ReachSample_t *out)
 {
     const RatePeers_t *this = owner;
     const GPtrArray *members = Membership_members(this->spec.membership);
@@ -110,9 +115,9 @@
     guint start = members->len > 0 ? Random_below(members->len) : 0;
     guint stride = members->len / MAX(out->drawn, 1);
     for (guint i = 0; i < out->drawn; i++) {
-        guint place = (start + i * stride) % members->len;
+        guint index = (start + i * stride) % members->len;
         out->routers[i] =
-            identity_of_member(g_ptr_array_index(members, place));
+            identity_of_member(g_ptr_array_index(members, index));
     }
 }
 
@@ -125,12 +130,12 @@
 }
 
 static void
-wake(void *owner, gint64 in_ms)
+schedule_tick(void *owner, gint64 in_ms)
 {
     RatePeers_t *this = owner;
-    gint64 wakes_ms = Clock_nowMs() + MAX(in_ms, 0);
-    if (this->wakes_ms == 0 || wakes_ms < this->wakes_ms) {
-        this->wakes_ms = wakes_ms;
+    gint64 tick_at_ms = Clock_nowMs() + MAX(in_ms, 0);
+    if (this->tick_at_ms == 0 || tick_at_ms < this->tick_at_ms) {
+        this->tick_at_ms = tick_at_ms;
         Clock_arm(this->timer, MAX(in_ms, 0));
     }
 }
@@ -138,9 +143,9 @@
 static const RateLinksClass_t links = {
     .candidates = find_candidates,
     .routers = count_routers,
-    .draw = draw,
+    .draw_sample = draw_sample,
     .send = send_message,
-    .wake = wake,
+    .schedule_tick = schedule_tick,
 };
 
 static void
@@ -149,7 +154,7 @@
     (void)fd;
     (void)what;
     RatePeers_t *this = data;
-    this->wakes_ms = 0;
+    this->tick_at_ms = 0;
     RateKeeper_tick(this->keeper);
 }
 
@@ -158,7 +163,7 @@
            const struct sockaddr_in *from)
 {
     const RatePeers_t *this = owner;
-    RateKeeper_take(this->keeper, message, identity_of(from));
+    RateKeeper_receive(this->keeper, message, identity_of(from));
 }
 
 RatePeers_t *
--- a/src/RatePeers.h
+++ b/src/RatePeers.h
@@ -3,24 +3,26 @@
 /**
  * DOC: RatePeers
  *
- * The other routers as a keeper of limits sees them (RateKeeper.h): who keeps
- * a customer's count by rendezvous hashing, datagrams, and one timer.
+ * Connects RateKeeper.h to the other routers of the membership: finds the
+ * candidates for a subject's count by rendezvous hashing, sends messages as
+ * datagrams, and runs the keeper's timer.
  *
- * A router that does not know the others yet takes the seeds of its settings
- * for all there are, since these are the same for all. Without that each of 90
- * routers that start at once kept a count of its own until it knew the others:
- * a customer at three times its limit got 1.2 s of it beside the limit.
+ * A router that does not know the other routers yet uses the seeds of its
+ * settings as the list of routers, since the seeds are the same on all
+ * routers. Otherwise each of 90 routers that start at once would keep a count
+ * of its own until the membership has converged: a customer at three times its
+ * limit got 1.2 s worth of its rate on top of the limit.
  */
 #include "Membership.h"
 #include "PeerDatagrams.h"
 #include "RateLimits.h"
 
 /**
- * struct RatePeersSpec_t - what it needs; all must outlive it
+ * struct RatePeersSpec_t - dependencies; all must outlive it
  * @membership: the routers
- * @datagrams: to all of them
- * @counters: for questions
- * @seeds: Address_t of the settings; NULL for none
+ * @datagrams: transport to all routers
+ * @counters: counters for queries
+ * @seeds: Address_t of the seeds in the settings; NULL for none
  */
 typedef struct {
     Membership_t *membership;
@@ -32,14 +34,16 @@
 /** struct RatePeers_t - opaque */
 typedef struct RatePeers RatePeers_t;
 
-/** RatePeers_create() - a keeper of limits among the other routers */
+/** RatePeers_create() - create a RateKeeper_t that is connected to the other
+ * routers */
 RatePeers_t *RatePeers_create(struct event_base *base,
                               const RatePeersSpec_t *spec);
 
-/** RatePeers_limits() - for RateLimits_enter(); valid as long as it */
+/** RatePeers_limits() - the limits, for RateLimits_acquire(); valid as long as
+ * @this */
 RateLimits_t *RatePeers_limits(RatePeers_t *this);
 
-/** RatePeers_destroy() - free it; no question may be open */
+/** RatePeers_destroy() - free it; no query may be pending */
 void RatePeers_destroy(RatePeers_t *this);
 
 #endif
--- a/src/RateShare.c
+++ b/src/RateShare.c
@@ -1,55 +1,56 @@
 #include "RateShare.h"
 
 #include "Clock.h"
-#include "OwnShare.h"
+#include "LocalShare.h"
 
 typedef struct {
     RateLimits_t super;
     RateShareCount_t routers;
-    const void *owner;  /* of @routers */
-    GHashTable *shares; /* subject -> OwnShare_t */
+    const void *owner;  /* argument of @routers */
+    GHashTable *shares; /* subject -> LocalShare_t */
 } RateShare_t;
 
-static OwnShare_t *
-share_of(RateShare_t *this, const char *subject)
+static LocalShare_t *
+get_share(RateShare_t *this, const char *subject)
 {
-    OwnShare_t *share = g_hash_table_lookup(this->shares, subject);
+    LocalShare_t *share = g_hash_table_lookup(this->shares, subject);
     if (!share) {
-        share = g_new0(OwnShare_t, 1);
+        share = g_new0(LocalShare_t, 1);
         g_hash_table_insert(this->shares, g_strdup(subject), share);
     }
     return share;
 }
 
-static RateAsk_t *
-enter(RateLimits_t *super, const RateRequest_t *request, RateVerdict_t *out,
-      RateDone_t done, void *owner)
+static RateQuery_t *
+acquire(RateLimits_t *super, const RateRequest_t *request, RateVerdict_t *out,
+        RateDone_t done, void *owner)
 {
     (void)done;
     (void)owner;
     RateShare_t *this = (RateShare_t *)super;
-    OwnShare_t *share = share_of(this, request->subject);
+    LocalShare_t *share = get_share(this, request->subject);
     gint64 now_ms = Clock_nowMs();
-    OwnShareFacts_t facts = {
+    LocalShareInput_t input = {
         .limit = request->limit,
         .routers = this->routers(this->owner),
     };
     *out = (RateVerdict_t){.by = "share"};
-    out->admitted = OwnShare_take(share, &facts, request->units, now_ms);
+    out->admitted = LocalShare_take(share, &input, request->units, now_ms);
     if (!out->admitted) {
-        out->retry_after_ms = OwnShare_refuse(share, request->units, now_ms);
+        out->retry_after_ms =
+            LocalShare_noteRefused(share, request->units, now_ms);
     }
     out->left = share->bucket.level;
     return NULL;
 }
 
 static void
-give_back(RateLimits_t *super, const RateRequest_t *request)
+refund(RateLimits_t *super, const RateRequest_t *request)
 {
     RateShare_t *this = (RateShare_t *)super;
-    OwnShare_t *share = share_of(this, request->subject);
-    if (share->begun) {
-        TokenBucket_giveBack(&share->bucket, request->units, Clock_nowMs());
+    LocalShare_t *share = get_share(this, request->subject);
+    if (share->started) {
+        TokenBucket_refund(&share->bucket, request->units, Clock_nowMs());
     }
 }
 
@@ -63,8 +64,8 @@
 
 static const RateLimitsClass_t class = {
     .name = "share",
-    .enter = enter,
-    .give_back = give_back,
+    .acquire = acquire,
+    .refund = refund,
     .destroy = destroy,
 };
 
--- a/src/RateShare.h
+++ b/src/RateShare.h
@@ -3,17 +3,18 @@
 /**
  * DOC: RateShare
  *
- * The way without a message: each router lets in its part of a limit by the
- * number of routers. What is let in stays within the limit whatever happens
- * between them; a customer whose callers are connected to few routers gets
- * their parts only.
+ * Rate limit strategy without messages: each router admits the limit divided
+ * by the number of routers. The routers together stay within the limit
+ * whatever happens to the links between them, but a customer whose callers are
+ * connected to a few routers gets only the shares of these.
  */
 #include "RateLimits.h"
 
-/** RateShareCount_t - how many routers there are, this one included */
+/** RateShareCount_t - returns the number of routers, this one included */
 typedef guint (*RateShareCount_t)(const void *owner);
 
-/** RateShare_create() - nothing is used; @owner of @routers must outlive it */
+/** RateShare_create() - start with full shares; @owner, the argument of
+ * @routers, must outlive it */
 RateLimits_t *RateShare_create(RateShareCount_t routers, const void *owner);
 
 #endif
--- a/src/TokenBucket.c
+++ b/src/TokenBucket.c
@@ -2,40 +2,40 @@
 
 #include "Clock.h"
 
-/* A limit without a burst, or with a tiny one, still lets through what its
- * rate makes in half a second, or requests that come two at a time would be
- * refused at a tenth of the rate. */
-#define LEAST_DEPTH_S 0.5
-/* Nobody is told to come back later than that: what was refused by then has
- * gone elsewhere or was given up. */
-#define RETURN_MOST_MS 10000
+/* The depth is at least what the rate yields in this time, also for a limit
+ * with a tiny burst or none. With less, requests that arrive two at a time
+ * would be refused at as little as a tenth of the rate. */
+#define MIN_DEPTH_S 0.5
+/* Longest retry time: by then a refused request was retried on another
+ * upstream or abandoned. */
+#define RETRY_AFTER_MAX_MS 10000
 
 double
 TokenBucket_depth(const RateLimit_t *limit)
 {
-    return MAX(limit->burst, limit->per_s * LEAST_DEPTH_S);
+    return MAX(limit->burst, limit->per_s * MIN_DEPTH_S);
 }
 
 void
-TokenBucket_init(TokenBucket_t *this, const RateLimit_t *limit, double part,
-                 gint64 now_ms)
+TokenBucket_init(TokenBucket_t *this, const RateLimit_t *limit,
+                 double fraction, gint64 now_ms)
 {
     *this = (TokenBucket_t){
         .limit = *limit,
-        .level = TokenBucket_depth(limit) * part,
+        .level = TokenBucket_depth(limit) * fraction,
         .filled_ms = now_ms,
     };
 }
 
 static void
-fill(TokenBucket_t *this, gint64 now_ms)
+refill(TokenBucket_t *this, gint64 now_ms)
 {
-    double passed_s =
+    double elapsed_s =
         (double)MAX(now_ms - this->filled_ms, 0) / CLOCK_MS_PER_S;
-    double gained = passed_s * this->limit.per_s;
+    double added = elapsed_s * this->limit.per_s;
     double depth = TokenBucket_depth(&this->limit);
-    this->level = MIN(this->level + gained, depth);
-    this->returning = MAX(this->returning - gained, 0);
+    this->level = MIN(this->level + added, depth);
+    this->retrying = MAX(this->retrying - added, 0);
     this->filled_ms = MAX(now_ms, this->filled_ms);
 }
 
@@ -46,15 +46,15 @@
     if (limit->version < this->limit.version) {
         return;
     }
-    fill(this, now_ms);
+    refill(this, now_ms);
     this->limit = *limit;
-    fill(this, now_ms);
+    refill(this, now_ms);
 }
 
 gboolean
 TokenBucket_take(TokenBucket_t *this, double units, gint64 now_ms)
 {
-    fill(this, now_ms);
+    refill(this, now_ms);
     if (this->level <= 0) {
         return FALSE;
     }
@@ -63,37 +63,37 @@
 }
 
 void
-TokenBucket_spend(TokenBucket_t *this, double units, gint64 now_ms)
+TokenBucket_charge(TokenBucket_t *this, double units, gint64 now_ms)
 {
-    fill(this, now_ms);
+    refill(this, now_ms);
     this->level -= units;
 }
 
 void
-TokenBucket_giveBack(TokenBucket_t *this, double units, gint64 now_ms)
+TokenBucket_refund(TokenBucket_t *this, double units, gint64 now_ms)
 {
-    fill(this, now_ms);
+    refill(this, now_ms);
     this->level = MIN(this->level + units, TokenBucket_depth(&this->limit));
 }
 
 double
-TokenBucket_part(TokenBucket_t *this, gint64 now_ms)
+TokenBucket_fraction(TokenBucket_t *this, gint64 now_ms)
 {
-    fill(this, now_ms);
+    refill(this, now_ms);
     double depth = TokenBucket_depth(&this->limit);
     return depth > 0 ? this->level / depth : 0;
 }
 
 guint
-TokenBucket_refuse(TokenBucket_t *this, double units, gint64 now_ms)
+TokenBucket_noteRefused(TokenBucket_t *this, double units, gint64 now_ms)
 {
-    fill(this, now_ms);
-    double ahead = this->returning - MIN(this->level, 0);
-    double most = this->limit.per_s * RETURN_MOST_MS / CLOCK_MS_PER_S;
-    this->returning = MIN(this->returning + units, most);
+    refill(this, now_ms);
+    double ahead_units = this->retrying - MIN(this->level, 0);
+    double max_units = this->limit.per_s * RETRY_AFTER_MAX_MS / CLOCK_MS_PER_S;
+    this->retrying = MIN(this->retrying + units, max_units);
     if (this->limit.per_s <= 0) {
-        return RETURN_MOST_MS;
+        return RETRY_AFTER_MAX_MS;
     }
-    double wait_ms = ahead / this->limit.per_s * CLOCK_MS_PER_S;
-    return (guint)CLAMP(wait_ms, 1, RETURN_MOST_MS);
+    double wait_ms = ahead_units / this->limit.per_s * CLOCK_MS_PER_S;
+    return (guint)CLAMP(wait_ms, 1, RETRY_AFTER_MAX_MS);
 }
--- a/src/TokenBucket.h
+++ b/src/TokenBucket.h
@@ -3,24 +3,28 @@
 /**
  * DOC: TokenBucket
  *
- * What is left of a limit: it fills at a steady rate up to its depth, and each
- * request takes from it. Whoever comes while anything is left is let in, and
- * what it takes beyond that is owed, so that a request larger than the depth
- * is served in its turn, and none is refused that fits. In any span of time at
- * most the rate times the span, the depth and one request are taken.
+ * A token bucket that may go into debt. It refills at a steady rate up to its
+ * depth, and each request takes units from it. A request is admitted while the
+ * level is above 0, even if it takes more than the level; the difference
+ * becomes a debt that the refill pays off. A request larger than the depth is
+ * therefore admitted in its turn, and no request that fits is refused. In any
+ * span of time the bucket admits at most the rate times the span, plus the
+ * depth, plus one request.
  *
- * Whoever is refused is told when to come back: behind those that were refused
- * before, as they will be back as well. Without that all of them were told the
- * same moment, and all but the first were refused a second time.
+ * A refused request is told when to retry. Its time lies after those of the
+ * requests refused before it, since they will retry as well. If all refused
+ * requests were given the same time, all but the first would be refused again.
  */
 #include <glib.h>
 
 /**
- * struct RateLimit_t - what may be taken
- * @per_s: units a second; 0 for no limit
- * @burst: units on top, after a rest
- * @version: of what says so; a later one replaces it
- * @exact: nothing is let in unasked, however much is left
+ * struct RateLimit_t - a rate limit
+ * @per_s: units per second; 0 for no limit
+ * @burst: units that may be taken at once after an idle time
+ * @version: version of the setting that the limit comes from; a limit with a
+ *     higher version replaces it
+ * @exact: each request has to query the keeper of the count, whatever the
+ *     level
  */
 typedef struct {
     double per_s;
@@ -30,48 +34,53 @@
 } RateLimit_t;
 
 /**
- * struct TokenBucket_t - one limit in use
- * @limit: in force
- * @level: units that are left; below 0 while some are owed
- * @returning: units of those refused that have not been able to come back
- * @filled_ms: when both were brought up to date, monotonic
+ * struct TokenBucket_t - bucket of one limit
+ * @limit: limit in force
+ * @level: units left; below 0 while the bucket is in debt
+ * @retrying: units of refused requests whose retry time has not come yet
+ * @filled_ms: when @level and @retrying were last updated, monotonic
  */
 typedef struct {
     RateLimit_t limit;
     double level;
-    double returning;
+    double retrying;
     gint64 filled_ms;
 } TokenBucket_t;
 
-/** TokenBucket_depth() - units that a limit lets through at once */
+/** TokenBucket_depth() - most units that a limit admits at once */
 double TokenBucket_depth(const RateLimit_t *limit);
 
-/** TokenBucket_init() - a bucket in which a part of its depth is left */
+/**
+ * TokenBucket_init() - initialize a bucket
+ * @fraction: initial level as a fraction of the depth
+ */
 void TokenBucket_init(TokenBucket_t *this, const RateLimit_t *limit,
-                      double part, gint64 now_ms);
+                      double fraction, gint64 now_ms);
 
-/** TokenBucket_setLimit() - another limit from now on; one of an older version
- * is passed over */
+/** TokenBucket_setLimit() - replace the limit, unless @limit has an older
+ * version */
 void TokenBucket_setLimit(TokenBucket_t *this, const RateLimit_t *limit,
                           gint64 now_ms);
 
-/** TokenBucket_take() - let a request in; FALSE where nothing is left */
+/** TokenBucket_take() - admit a request; FALSE if the bucket is empty */
 gboolean TokenBucket_take(TokenBucket_t *this, double units, gint64 now_ms);
 
-/** TokenBucket_spend() - what was let in elsewhere; may leave it in debt */
-void TokenBucket_spend(TokenBucket_t *this, double units, gint64 now_ms);
+/** TokenBucket_charge() - subtract units that were admitted elsewhere; may put
+ * the bucket into debt */
+void TokenBucket_charge(TokenBucket_t *this, double units, gint64 now_ms);
 
-/** TokenBucket_giveBack() - what was taken and not used */
-void TokenBucket_giveBack(TokenBucket_t *this, double units, gint64 now_ms);
+/** TokenBucket_refund() - return units that were taken and not used */
+void TokenBucket_refund(TokenBucket_t *this, double units, gint64 now_ms);
 
-/** TokenBucket_part() - how much of the depth is left, 1 for all */
-double TokenBucket_part(TokenBucket_t *this, gint64 now_ms);
+/** TokenBucket_fraction() - level as a fraction of the depth; 1 when full */
+double TokenBucket_fraction(TokenBucket_t *this, gint64 now_ms);
 
 /**
- * TokenBucket_refuse() - a request was refused
+ * TokenBucket_noteRefused() - record that a request was refused
  *
- * Return: in how many ms it may come back
+ * Return: after how many ms the request may be retried
  */
-guint TokenBucket_refuse(TokenBucket_t *this, double units, gint64 now_ms);
+guint TokenBucket_noteRefused(TokenBucket_t *this, double units,
+                              gint64 now_ms);
 
 #endif
--- a/src/Upstream.c
+++ b/src/Upstream.c
@@ -107,7 +107,7 @@
     if (this->leaving) {
         return "leaving";
     }
-    if (UpstreamRest_leftMs(&this->rest, now_ms) > 0) {
+    if (UpstreamBackoff_leftMs(&this->rest, now_ms) > 0) {
         return "resting";
     }
     return now_ms < this->ejected_until_ms ? "ejected" : "live";
@@ -128,7 +128,7 @@
     this->unloading_since_ms = 0;
     this->soon_until_ms = 0;
     this->limit = (UpstreamLimit_t){0};
-    this->rest = (UpstreamRest_t){0};
+    this->rest = (UpstreamBackoff_t){0};
     Upstream_noteSuccess(this);
 }
 
--- a/src/Upstream.h
+++ b/src/Upstream.h
@@ -14,8 +14,8 @@
 #include "Declarations.h"
 #include "EngineMemory.h"
 #include "Link.h"
+#include "UpstreamBackoff.h"
 #include "UpstreamLimit.h"
-#include "UpstreamRest.h"
 
 /**
  * struct Upstream_t - one upstream
@@ -120,7 +120,7 @@
     double run_us;
     gint64 proved_ms;
     UpstreamLimit_t limit;
-    UpstreamRest_t rest;
+    UpstreamBackoff_t rest;
     EngineMemory_t memory;
     Link_t link;
 
--- a/src/UpstreamGate.c
+++ b/src/UpstreamGate.c
@@ -7,7 +7,7 @@
 static void
 release(UpstreamGate_t *this, gboolean is_used)
 {
-    RateGate_leave(&this->rate, is_used);
+    RateGate_release(&this->rate, is_used);
     this->has_room = FALSE;
     g_clear_pointer(&this->upstream, Upstream_unref);
     if (this->subject) {
@@ -51,7 +51,7 @@
         .units = 1,
     };
     this->answered = FALSE;
-    RateGate_enter(&this->rate, rates, &request, on_verdict, this);
+    RateGate_acquire(&this->rate, rates, &request, on_verdict, this);
     if (this->answered) {
         return this->has_room ? UPSTREAM_GATE_OPEN : UPSTREAM_GATE_FULL;
     }
--- a/src/UpstreamLimit.c
+++ b/src/UpstreamLimit.c
@@ -1,29 +1,30 @@
 #include "UpstreamLimit.h"
 
-/* Unreadable limits of one upstream are reported no more often. */
-#define REPORT_MS 10000
-/* An upstream that takes next to nothing still gets a request now and then, or
- * nobody would hear that its limit has ended. */
-#define LEAST_PER_S 0.5
-/* Requests that may come at once after a rest. */
-#define BURST 1
+/* Minimum interval between two reports of an upstream's unreadable limit. */
+#define REPORT_INTERVAL_MS 10000
+/* An upstream with a limit near 0 still gets an occasional request. Otherwise
+ * no answer would show that its limit has ended. */
+#define MIN_PER_S 0.5
+/* Requests that may be sent at once after an idle time. */
+#define BURST_REQUESTS 1
 
 static gboolean
-is_lower(const UpstreamLimit_t *this, const NamedLimit_t *said)
+is_lower(const UpstreamLimit_t *this, const AdvertisedLimit_t *advertised)
 {
-    return said->kind == LIMIT_NAMED &&
-           (!this->is_named || said->per_s < this->per_s);
+    return advertised->kind == LIMIT_ADVERTISED &&
+           (!this->is_named || advertised->per_s < this->per_s);
 }
 
 static gboolean
-is_same(const UpstreamLimit_t *this, const NamedLimit_t *said)
+is_same(const UpstreamLimit_t *this, const AdvertisedLimit_t *advertised)
 {
-    gboolean is_named = said->kind == LIMIT_NAMED;
-    return is_named == this->is_named && said->per_s == this->per_s;
+    gboolean is_named = advertised->kind == LIMIT_ADVERTISED;
+    return is_named == this->is_named && advertised->per_s == this->per_s;
 }
 
 static void
-set(UpstreamLimit_t *this, const UpstreamLimitFact_t *fact, gint64 now_ms)
+set_limit(UpstreamLimit_t *this, const UpstreamLimitFact_t *fact,
+          gint64 now_ms)
 {
     this->is_named = fact->is_named;
     this->per_s = fact->per_s;
@@ -33,21 +34,22 @@
 }
 
 gboolean
-UpstreamLimit_noteAnswer(UpstreamLimit_t *this, const NamedLimit_t *said,
-                         gint64 sent_ms, gint64 now_ms)
+UpstreamLimit_noteAnswer(UpstreamLimit_t *this,
+                         const AdvertisedLimit_t *advertised, gint64 sent_ms,
+                         gint64 now_ms)
 {
-    if (said->kind == LIMIT_UNREADABLE || is_same(this, said)) {
+    if (advertised->kind == LIMIT_UNREADABLE || is_same(this, advertised)) {
         return FALSE;
     }
-    if (!is_lower(this, said) && sent_ms <= this->learned_ms) {
+    if (!is_lower(this, advertised) && sent_ms <= this->learned_ms) {
         return FALSE;
     }
     UpstreamLimitFact_t fact = {
-        .is_named = said->kind == LIMIT_NAMED,
-        .per_s = said->per_s,
+        .is_named = advertised->kind == LIMIT_ADVERTISED,
+        .per_s = advertised->per_s,
         .version = this->version + 1,
     };
-    set(this, &fact, now_ms);
+    set_limit(this, &fact, now_ms);
     return TRUE;
 }
 
@@ -61,13 +63,13 @@
 }
 
 gboolean
-UpstreamLimit_takeFact(UpstreamLimit_t *this, const UpstreamLimitFact_t *fact,
-                       gint64 now_ms)
+UpstreamLimit_applyFact(UpstreamLimit_t *this, const UpstreamLimitFact_t *fact,
+                        gint64 now_ms)
 {
     if (!is_newer(this, fact)) {
         return FALSE;
     }
-    set(this, fact, now_ms);
+    set_limit(this, fact, now_ms);
     return TRUE;
 }
 
@@ -75,8 +77,8 @@
 UpstreamLimit_rate(const UpstreamLimit_t *this)
 {
     return (RateLimit_t){
-        .per_s = MAX(this->per_s, LEAST_PER_S),
-        .burst = BURST,
+        .per_s = MAX(this->per_s, MIN_PER_S),
+        .burst = BURST_REQUESTS,
         .version = this->version,
         .exact = TRUE,
     };
@@ -95,10 +97,10 @@
 }
 
 gboolean
-UpstreamLimit_isReported(UpstreamLimit_t *this, gint64 now_ms)
+UpstreamLimit_noteReport(UpstreamLimit_t *this, gint64 now_ms)
 {
-    gboolean reported =
-        this->unreadable_ms > 0 && now_ms - this->unreadable_ms < REPORT_MS;
+    gboolean reported = this->unreadable_ms > 0 &&
+                        now_ms - this->unreadable_ms < REPORT_INTERVAL_MS;
     if (!reported) {
         this->unreadable_ms = now_ms;
     }
--- a/src/UpstreamLimit.h
+++ b/src/UpstreamLimit.h
@@ -3,24 +3,24 @@
 /**
  * DOC: UpstreamLimit
  *
- * The request rate limit of one upstream, as this router knows it. Answers on
- * parallel connections overtake each other, so that an answer without the
- * limit, or with a higher one, counts only where its request was sent after
- * the limit was learned: its head was made later, then. A lower limit counts
- * at once.
+ * The request rate limit of one upstream as this router knows it. Answers on
+ * parallel connections can overtake each other. An answer without a limit or
+ * with a higher one therefore counts only if its request was sent after the
+ * current limit was learned, which proves that the upstream wrote the answer
+ * later. A lower limit applies at once.
  */
-#include "NamedLimit.h"
+#include "AdvertisedLimit.h"
 #include "TokenBucket.h"
 
 /**
- * struct UpstreamLimit_t - zeroed while none was named
- * @is_named: there is a limit
- * @per_s: requests a second of all routers together
- * @version: of what is known; grows with each change
- * @learned_ms: when it last changed here, monotonic
- * @full_until_ms: no room is left until then, by the word of the router that
- *     keeps the count, monotonic
- * @unreadable_ms: when an unreadable one was last reported, 0 for never
+ * struct UpstreamLimit_t - zeroed before the upstream advertises a limit
+ * @is_named: the upstream advertises a limit
+ * @per_s: requests per second of all routers together
+ * @version: version of the limit; grows with each change
+ * @learned_ms: when the limit last changed on this router, monotonic
+ * @full_until_ms: until when the limit has no capacity left, as the router
+ *     that keeps the count said, monotonic
+ * @unreadable_ms: when an unreadable limit was last reported, 0 for never
  */
 typedef struct {
     gboolean is_named;
@@ -32,7 +32,8 @@
 } UpstreamLimit_t;
 
 /**
- * struct UpstreamLimitFact_t - what another router knows; see UpstreamLimit_t
+ * struct UpstreamLimitFact_t - the limit as another router knows it; see
+ * UpstreamLimit_t
  */
 typedef struct {
     gboolean is_named;
@@ -41,39 +42,40 @@
 } UpstreamLimitFact_t;
 
 /**
- * UpstreamLimit_noteAnswer() - learn from an answer
- * @sent_ms: when its request was sent, monotonic
+ * UpstreamLimit_noteAnswer() - learn the limit from an answer
+ * @sent_ms: when the request of the answer was sent, monotonic
  *
- * Return: whether that is news
+ * Return: whether the limit has changed
  */
 gboolean UpstreamLimit_noteAnswer(UpstreamLimit_t *this,
-                                  const NamedLimit_t *said, gint64 sent_ms,
-                                  gint64 now_ms);
+                                  const AdvertisedLimit_t *advertised,
+                                  gint64 sent_ms, gint64 now_ms);
 
 /**
- * UpstreamLimit_takeFact() - learn from another router
+ * UpstreamLimit_applyFact() - learn the limit from another router
  *
- * The newer version holds; of two with the same, the lower limit.
+ * The newer version applies; of two limits with the same version, the lower.
  *
- * Return: whether that is news
+ * Return: whether the limit has changed
  */
-gboolean UpstreamLimit_takeFact(UpstreamLimit_t *this,
-                                const UpstreamLimitFact_t *fact,
-                                gint64 now_ms);
+gboolean UpstreamLimit_applyFact(UpstreamLimit_t *this,
+                                 const UpstreamLimitFact_t *fact,
+                                 gint64 now_ms);
 
-/** UpstreamLimit_rate() - what all routers together may send; only of one that
- * is named */
+/** UpstreamLimit_rate() - what all routers together may send; call it only
+ * while @is_named is set */
 RateLimit_t UpstreamLimit_rate(const UpstreamLimit_t *this);
 
-/** UpstreamLimit_noteFull() - no room for so long */
+/** UpstreamLimit_noteFull() - record that there is no capacity for @for_ms */
 void UpstreamLimit_noteFull(UpstreamLimit_t *this, gint64 for_ms,
                             gint64 now_ms);
 
-/** UpstreamLimit_fullMs() - for how long that still holds, 0 for not */
+/** UpstreamLimit_fullMs() - how much longer there is no capacity; 0 if there
+ * is some */
 gint64 UpstreamLimit_fullMs(const UpstreamLimit_t *this, gint64 now_ms);
 
-/** UpstreamLimit_isReported() - whether an unreadable limit was reported
- * lately; if not, it counts as reported now */
-gboolean UpstreamLimit_isReported(UpstreamLimit_t *this, gint64 now_ms);
+/** UpstreamLimit_noteReport() - whether an unreadable limit was reported
+ * recently; if not, records a report now */
+gboolean UpstreamLimit_noteReport(UpstreamLimit_t *this, gint64 now_ms);
 
 #endif
--- a/src/UpstreamLimits.c
+++ b/src/UpstreamLimits.c
@@ -5,13 +5,12 @@
 #include "Random.h"
 
 #define MILLI 1000
-/* Nobody is told to come back later than that. */
-#define RETURN_MOST_MS 10000
+#define RETRY_AFTER_MAX_MS 10000
 
 struct UpstreamLimits {
     Membership_t *membership;
     Counters_t *counters;
-    GHashTable *returning; /* target -> TokenBucket_t of those refused */
+    GHashTable *retrying; /* target -> TokenBucket_t of refused requests */
 };
 
 static void
@@ -23,17 +22,17 @@
 }
 
 static void
-log_change(const Upstream_t *upstream, const UpstreamLimit_t *before,
+log_change(const Upstream_t *upstream, const UpstreamLimit_t *previous,
            const char *by, const char *request_id)
 {
     const UpstreamLimit_t *limit = &upstream->limit;
     Log_begin(LOG_LEVEL_INFO, "upstream_limit");
     Log_text("upstream", upstream->name->str);
     log_limit("per_s", limit);
-    log_limit("before", before);
+    log_limit("before", previous);
     Log_number("version", (gint64)limit->version);
-    Log_number("before_ms", before->learned_ms > 0
-                                ? limit->learned_ms - before->learned_ms
+    Log_number("before_ms", previous->learned_ms > 0
+                                ? limit->learned_ms - previous->learned_ms
                                 : -1);
     Log_text("by", by);
     if (request_id) {
@@ -49,15 +48,15 @@
 }
 
 gboolean
-UpstreamLimits_takeFact(const UpstreamLimits_t *this, Upstream_t *upstream,
-                        const UpstreamLimitFact_t *fact)
+UpstreamLimits_applyFact(const UpstreamLimits_t *this, Upstream_t *upstream,
+                         const UpstreamLimitFact_t *fact)
 {
-    UpstreamLimit_t before = upstream->limit;
-    if (!UpstreamLimit_takeFact(&upstream->limit, fact, Clock_nowMs())) {
+    UpstreamLimit_t previous = upstream->limit;
+    if (!UpstreamLimit_applyFact(&upstream->limit, fact, Clock_nowMs())) {
         return FALSE;
     }
     count_learned(this, "by=\"peer\"");
-    log_change(upstream, &before, "peer", NULL);
+    log_change(upstream, &previous, "peer", NULL);
     return TRUE;
 }
 
@@ -67,7 +66,7 @@
     UpstreamLimits_t *this = g_new0(UpstreamLimits_t, 1);
     this->membership = membership;
     this->counters = counters;
-    this->returning =
+    this->retrying =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return this;
 }
@@ -75,7 +74,7 @@
 void
 UpstreamLimits_destroy(UpstreamLimits_t *this)
 {
-    g_hash_table_destroy(this->returning);
+    g_hash_table_destroy(this->retrying);
     g_free(this);
 }
 
@@ -84,7 +83,7 @@
                 const char *request_id)
 {
     Counters_add(this->counters, "upstream_limits_unreadable_total", NULL, 1);
-    if (UpstreamLimit_isReported(&upstream->limit, Clock_nowMs())) {
+    if (UpstreamLimit_noteReport(&upstream->limit, Clock_nowMs())) {
         return;
     }
     Log_begin(LOG_LEVEL_WARNING, "upstream_limit_unreadable");
@@ -96,20 +95,20 @@
 
 gboolean
 UpstreamLimits_noteAnswer(UpstreamLimits_t *this, Upstream_t *upstream,
-                          const NamedLimit_t *said, gint64 sent_ms,
+                          const AdvertisedLimit_t *advertised, gint64 sent_ms,
                           const char *request_id)
 {
-    UpstreamLimit_t before = upstream->limit;
-    if (said->kind == LIMIT_UNREADABLE) {
+    UpstreamLimit_t previous = upstream->limit;
+    if (advertised->kind == LIMIT_UNREADABLE) {
         note_unreadable(this, upstream, request_id);
         return FALSE;
     }
-    if (!UpstreamLimit_noteAnswer(&upstream->limit, said, sent_ms,
+    if (!UpstreamLimit_noteAnswer(&upstream->limit, advertised, sent_ms,
                                   Clock_nowMs())) {
         return FALSE;
     }
     count_learned(this, "by=\"answer\"");
-    log_change(upstream, &before, "answer", request_id);
+    log_change(upstream, &previous, "answer", request_id);
     return TRUE;
 }
 
@@ -134,28 +133,29 @@
 }
 
 static TokenBucket_t *
-bucket_of(UpstreamLimits_t *this, const char *target)
+get_bucket(UpstreamLimits_t *this, const char *target)
 {
-    TokenBucket_t *bucket = g_hash_table_lookup(this->returning, target);
+    TokenBucket_t *bucket = g_hash_table_lookup(this->retrying, target);
     if (!bucket) {
         bucket = g_new0(TokenBucket_t, 1);
-        g_hash_table_insert(this->returning, g_strdup(target), bucket);
+        g_hash_table_insert(this->retrying, g_strdup(target), bucket);
     }
     return bucket;
 }
 
-/* Of what the upstreams take together, each router has its part of those that
- * come back. They are spread over the time in which that part takes them. */
+/* Each router may use its share of the rate that the upstreams take together.
+ * The retries of the requests it has refused are spread at random over the
+ * time in which this share can admit them. */
 guint
 UpstreamLimits_retryAfterMs(UpstreamLimits_t *this, const char *target,
-                            const LimitedCapacity_t *room)
+                            const LimitedCapacity_t *capacity)
 {
     gint64 now_ms = Clock_nowMs();
-    TokenBucket_t *bucket = bucket_of(this, target);
-    RateLimit_t share = {.per_s =
-                             room->per_s / Membership_live(this->membership)};
+    TokenBucket_t *bucket = get_bucket(this, target);
+    RateLimit_t share = {.per_s = capacity->per_s /
+                                  Membership_live(this->membership)};
     TokenBucket_setLimit(bucket, &share, now_ms);
-    guint behind_ms = TokenBucket_refuse(bucket, 1, now_ms);
-    guint turn_ms = Random_below(behind_ms) + 1;
-    return (guint)MIN(room->full_ms + turn_ms, RETURN_MOST_MS);
+    guint queue_ms = TokenBucket_noteRefused(bucket, 1, now_ms);
+    guint delay_ms = Random_below(queue_ms) + 1;
+    return (guint)MIN(capacity->full_ms + delay_ms, RETRY_AFTER_MAX_MS);
 }
--- a/src/UpstreamLimits.h
+++ b/src/UpstreamLimits.h
@@ -14,7 +14,7 @@
 /** struct UpstreamLimits_t - opaque */
 typedef struct UpstreamLimits UpstreamLimits_t;
 
-/** UpstreamLimits_create() - both must outlive it */
+/** UpstreamLimits_create() - both arguments must outlive it */
 UpstreamLimits_t *UpstreamLimits_create(Membership_t *membership,
                                         Counters_t *counters);
 
@@ -22,39 +22,43 @@
 void UpstreamLimits_destroy(UpstreamLimits_t *this);
 
 /**
- * UpstreamLimits_noteAnswer() - an upstream has answered
- * @said: of its limit
+ * UpstreamLimits_noteAnswer() - learn a limit from an upstream's answer
+ * @advertised: limit that the answer advertises
  * @sent_ms: when the request was sent, monotonic
- * @request_id: of the request; NULL for a call of the router's own
+ * @request_id: id of the request; NULL for a call by the router itself
  *
- * Return: whether that is news
+ * Return: whether the limit has changed
  */
 gboolean UpstreamLimits_noteAnswer(UpstreamLimits_t *this,
                                    Upstream_t *upstream,
-                                   const NamedLimit_t *said, gint64 sent_ms,
-                                   const char *request_id);
+                                   const AdvertisedLimit_t *advertised,
+                                   gint64 sent_ms, const char *request_id);
 
-/** UpstreamLimits_takeFact() - what a peer knows; whether that is news */
-gboolean UpstreamLimits_takeFact(const UpstreamLimits_t *this,
-                                 Upstream_t *upstream,
-                                 const UpstreamLimitFact_t *fact);
+/** UpstreamLimits_applyFact() - learn a limit from a peer; returns whether it
+ * has changed */
+gboolean UpstreamLimits_applyFact(const UpstreamLimits_t *this,
+                                  Upstream_t *upstream,
+                                  const UpstreamLimitFact_t *fact);
 
 /**
- * UpstreamLimits_noteRefused() - there is no room for a request
- * @verdict: by whose word, and for how long
+ * UpstreamLimits_noteRefused() - record that an upstream's limit has refused a
+ * request
+ * @verdict: the refusal, with its source and duration
  */
 void UpstreamLimits_noteRefused(UpstreamLimits_t *this, Upstream_t *upstream,
                                 const RateVerdict_t *verdict,
                                 const char *request_id);
 
 /**
- * UpstreamLimits_retryAfterMs() - when a request that none has room for may
- * come back
- * @room: of the upstreams that would take it otherwise
+ * UpstreamLimits_retryAfterMs() - when to retry a request that the limits of
+ * all its upstreams refuse
+ * @capacity: of the upstreams that could serve the request but for their
+ *     limits
  *
- * Behind those that were refused before, as they will be back as well.
+ * The time lies after those of the requests refused before, since they will
+ * retry as well.
  */
 guint UpstreamLimits_retryAfterMs(UpstreamLimits_t *this, const char *target,
-                                  const LimitedCapacity_t *room);
+                                  const LimitedCapacity_t *capacity);
 
 #endif
--- a/src/UpstreamNotice.c
+++ b/src/UpstreamNotice.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <sys/queue.h>
 
-#include "UpstreamRest.h"
+#include "UpstreamBackoff.h"
 
 #define MS_PER_S 1000
 /* Longer texts are no time that anybody means. */
@@ -45,12 +45,12 @@
 {
     char copy[SECONDS_TEXT_MAX + 1];
     if (g_strlcpy(copy, text, sizeof(copy)) >= sizeof(copy) ||
-        !Decimal_isOne(g_strstrip(copy))) {
+        !Decimal_isNumber(g_strstrip(copy))) {
         return (RestNotice_t){.kind = REST_UNREADABLE};
     }
     double ms = g_ascii_strtod(copy, NULL) * MS_PER_S;
     return (RestNotice_t){REST_ASKED,
-                          (gint64)MIN(ms, (double)UPSTREAM_REST_MOST_MS)};
+                          (gint64)MIN(ms, (double)UPSTREAM_BACKOFF_MAX_MS)};
 }
 
 /* Other answers with this header tell the caller when to come back. */
@@ -82,7 +82,7 @@
                     const struct evkeyvalq *headers)
 {
     return (UpstreamNotice_t){
-        .limit = NamedLimit_find(headers, form->headers[NOTICE_LIMIT]),
+        .limit = AdvertisedLimit_find(headers, form->headers[NOTICE_LIMIT]),
         .leaving = find_flag(headers, form->headers[NOTICE_LEAVING]),
         .rest = find_rest(headers, status, form->headers[NOTICE_REST]),
     };
--- a/src/UpstreamNotice.h
+++ b/src/UpstreamNotice.h
@@ -7,7 +7,7 @@
  * Any answer may: also a refusal, or that of a health check. A form on the
  * wire names the headers that say it.
  */
-#include "NamedLimit.h"
+#include "AdvertisedLimit.h"
 
 /**
  * enum NoticeKind_t - what upstreams say of themselves
@@ -74,7 +74,7 @@
  * @rest: that it asks for
  */
 typedef struct {
-    NamedLimit_t limit;
+    AdvertisedLimit_t limit;
     NoticeFlag_t leaving;
     RestNotice_t rest;
 } UpstreamNotice_t;
--- a/src/UpstreamNotices.c
+++ b/src/UpstreamNotices.c
@@ -70,7 +70,7 @@
 take_limit_fact(const UpstreamNotices_t *this, Upstream_t *upstream,
                 const NoticeFact_t *fact)
 {
-    return UpstreamLimits_takeFact(this->spec.limits, upstream, &fact->limit);
+    return UpstreamLimits_applyFact(this->spec.limits, upstream, &fact->limit);
 }
 
 static gboolean
@@ -153,7 +153,7 @@
         note_unreadable(this, origin, "rest");
     }
     if (notice->rest.kind != REST_ASKED ||
-        !UpstreamRest_note(&upstream->rest, notice->rest.for_ms, now_ms)) {
+        !UpstreamBackoff_note(&upstream->rest, notice->rest.for_ms, now_ms)) {
         return FALSE;
     }
     Upstream_withdrawWaiters(upstream);
@@ -161,7 +161,7 @@
     Log_begin(LOG_LEVEL_INFO, "upstream_rests");
     Log_text("upstream", upstream->name->str);
     Log_number("asked_ms", notice->rest.for_ms);
-    Log_number("for_ms", UpstreamRest_leftMs(&upstream->rest, now_ms));
+    Log_number("for_ms", UpstreamBackoff_leftMs(&upstream->rest, now_ms));
     log_origin(origin);
     Log_end();
     return TRUE;
@@ -170,7 +170,7 @@
 static gboolean
 is_resting(const Upstream_t *upstream, gint64 now_ms)
 {
-    return UpstreamRest_leftMs(&upstream->rest, now_ms) > 0;
+    return UpstreamBackoff_leftMs(&upstream->rest, now_ms) > 0;
 }
 
 static const NoticeRow_t rows[NOTICE_KIND_COUNT] = {
--- a/src/UpstreamProber.c
+++ b/src/UpstreamProber.c
@@ -169,7 +169,8 @@
     gint64 now_ms = Clock_nowMs();
     gboolean left_to_peers =
         probe->upstream->heard_doubt && now_ms < probe->heard_until_ms;
-    gboolean rests = UpstreamRest_leftMs(&probe->upstream->rest, now_ms) > 0;
+    gboolean rests =
+        UpstreamBackoff_leftMs(&probe->upstream->rest, now_ms) > 0;
     return !probe->call && !left_to_peers && !rests &&
            now_ms >= probe->next_ms;
 }
--- a/tests/FakeRates.c
+++ b/tests/FakeRates.c
@@ -51,7 +51,7 @@
     double units;
     gint64 asked_ms;
     Node_t *node;
-    RateAsk_t *ask;
+    RateQuery_t *ask;
 } Request_t;
 
 struct Play {
@@ -117,7 +117,8 @@
 
 /* The first in the order of their weights. */
 static guint
-find_candidates(void *owner, const char *subject, guint64 out[RATE_CANDIDATES])
+find_candidates(void *owner, const char *subject,
+                guint64 out[RATE_CANDIDATES_MAX])
 {
     (void)subject;
     const Node_t *this = owner;
@@ -127,10 +128,10 @@
         while (at > 0 && weight_of(out[at - 1]) < weight_of(id)) {
             at--;
         }
-        if (at == RATE_CANDIDATES) {
+        if (at == RATE_CANDIDATES_MAX) {
             continue;
         }
-        count = MIN(count + 1, RATE_CANDIDATES);
+        count = MIN(count + 1, RATE_CANDIDATES_MAX);
         memmove(&out[at + 1], &out[at], (count - 1 - at) * sizeof(*out));
         out[at] = id;
     }
@@ -153,7 +154,7 @@
 }
 
 static void
-draw(void *owner, ReachSample_t *out)
+draw_sample(void *owner, ReachSample_t *out)
 {
     const Node_t *this = owner;
     out->others = this->play->spec->routers - 1;
@@ -187,7 +188,7 @@
 }
 
 static void
-wake(void *owner, gint64 in_ms)
+schedule_tick(void *owner, gint64 in_ms)
 {
     Node_t *this = owner;
     gint64 at_ms = this->play->now_ms + MAX(in_ms, 0);
@@ -199,9 +200,9 @@
 static const RateLinksClass_t links = {
     .candidates = find_candidates,
     .routers = count_routers,
-    .draw = draw,
+    .draw_sample = draw_sample,
     .send = send_message,
-    .wake = wake,
+    .schedule_tick = schedule_tick,
 };
 
 static void
@@ -282,7 +283,7 @@
 {
     Wt__PeerMessage *unpacked =
         wt__peer_message__unpack(NULL, message->size, message->bytes);
-    RateKeeper_take(node->keeper, unpacked, message->from);
+    RateKeeper_receive(node->keeper, unpacked, message->from);
     wt__peer_message__free_unpacked(unpacked, NULL);
 }
 
@@ -394,11 +395,11 @@
         return;
     }
     play->result.asked_keeper++;
-    RateAsk_t *under_way =
+    RateQuery_t *under_way =
         play->spec->way == FAKE_RATES_NONE
             ? NULL
-            : RateLimits_enter(node->limits, &rate, &verdict, on_verdict,
-                               request);
+            : RateLimits_acquire(node->limits, &rate, &verdict, on_verdict,
+                                 request);
     if (under_way) {
         g_hash_table_add(play->open, request);
         return;
@@ -462,7 +463,7 @@
 slow_some(Play_t *play)
 {
     guint one_in = 1 + Random_below(20);
-    guint64 order[RATE_CANDIDATES];
+    guint64 order[RATE_CANDIDATES_MAX];
     find_candidates(&play->nodes[0], CUSTOMER, order);
     guint64 keeper = order[0] == RATE_SELF ? 1 : order[0];
     for (guint i = 0; i < play->spec->routers; i++) {
--- a/tests/fuzz/heads.c
+++ b/tests/fuzz/heads.c
@@ -9,7 +9,7 @@
 #include "EngineHttp.h"
 #include "FleetRelay.h"
 #include "ResumeToken.h"
-#include "UpstreamRest.h"
+#include "UpstreamBackoff.h"
 #include "targets.h"
 
 /* The first line, and the headers from the others. */
@@ -91,11 +91,11 @@
 check_notice(const UpstreamNotice_t *notice, int status)
 {
     g_assert_cmpint(notice->rest.for_ms, >=, 0);
-    g_assert_cmpint(notice->rest.for_ms, <=, UPSTREAM_REST_MOST_MS);
+    g_assert_cmpint(notice->rest.for_ms, <=, UPSTREAM_BACKOFF_MAX_MS);
     g_assert(notice->rest.kind == REST_ABSENT || status == HTTP_SERVUNAVAIL);
     g_assert(notice->rest.kind == REST_ASKED || notice->rest.for_ms == 0);
     g_assert(notice->limit.per_s >= 0 &&
-             notice->limit.per_s <= NAMED_LIMIT_MOST);
+             notice->limit.per_s <= ADVERTISED_LIMIT_MAX_PER_S);
 }
 
 int
--- a/tests/fuzz/peers.c
+++ b/tests/fuzz/peers.c
@@ -91,7 +91,7 @@
 take_fact(void *owner, Upstream_t *upstream, const NoticeFact_t *fact)
 {
     (void)owner;
-    UpstreamLimit_takeFact(&upstream->limit, &fact->limit, 1);
+    UpstreamLimit_applyFact(&upstream->limit, &fact->limit, 1);
     if (fact->leaving) {
         Upstream_noteLeaving(upstream, upstream->incarnation, 1);
     }
@@ -111,15 +111,16 @@
     NoticeNews_take(news, message);
     const Upstream_t *second = put_upstream(upstreams, "u2");
     g_assert(first->limit.per_s >= 0 &&
-             first->limit.per_s <= NAMED_LIMIT_MOST);
+             first->limit.per_s <= ADVERTISED_LIMIT_MAX_PER_S);
     g_assert(second->limit.per_s >= 0 &&
-             second->limit.per_s <= NAMED_LIMIT_MOST);
+             second->limit.per_s <= ADVERTISED_LIMIT_MAX_PER_S);
     NoticeNews_destroy(news);
     UpstreamSet_destroy(upstreams);
 }
 
 static guint
-no_candidates(void *owner, const char *customer, guint64 out[RATE_CANDIDATES])
+no_candidates(void *owner, const char *customer,
+              guint64 out[RATE_CANDIDATES_MAX])
 {
     (void)owner;
     (void)customer;
@@ -159,9 +160,9 @@
 static const RateLinksClass_t no_links = {
     .candidates = no_candidates,
     .routers = one_router,
-    .draw = draw_none,
+    .draw_sample = draw_none,
     .send = send_nothing,
-    .wake = never_wake,
+    .schedule_tick = never_wake,
 };
 
 /* Whatever others say of a customer, a request of another one goes on. */
@@ -173,11 +174,11 @@
     RateRequest_t request = {
         .subject = "other", .limit = {.per_s = 10, .burst = 10}, .units = 1};
     RateVerdict_t verdict = {0};
-    RateKeeper_take(keeper, message, 7);
-    RateKeeper_take(keeper, message, 8);
+    RateKeeper_receive(keeper, message, 7);
+    RateKeeper_receive(keeper, message, 8);
     RateKeeper_tick(keeper);
-    RateAsk_t *ask = RateLimits_enter(RateKeeper_limits(keeper), &request,
-                                      &verdict, NULL, NULL);
+    RateQuery_t *ask = RateLimits_acquire(RateKeeper_limits(keeper), &request,
+                                          &verdict, NULL, NULL);
     g_assert(!ask);
     g_assert(verdict.admitted || message->rate_ask);
     RateLimits_destroy(RateKeeper_limits(keeper));
--- a/tests/test_Limits.c
+++ b/tests/test_Limits.c
@@ -8,20 +8,20 @@
 #include "Trace.h"
 #include "Upstream.h"
 
-START_TEST(open_requests_are_held)
+START_TEST(open_requests_are_limited)
 {
     CustomerLimits_t *limits = CustomerLimits_create();
-    ck_assert(CustomerLimits_enter(limits, "c", 2));
-    ck_assert(CustomerLimits_enter(limits, "c", 2));
-    ck_assert(!CustomerLimits_enter(limits, "c", 2));
-    ck_assert(CustomerLimits_enter(limits, "other", 2));
-    CustomerLimits_leave(limits, "c");
-    ck_assert(CustomerLimits_enter(limits, "c", 2));
-    ck_assert_uint_eq(CustomerLimits_open(limits, "c"), 2);
-    CustomerLimits_leave(limits, "c");
-    CustomerLimits_leave(limits, "c");
-    CustomerLimits_leave(limits, "c");
-    ck_assert_uint_eq(CustomerLimits_open(limits, "c"), 0);
+    ck_assert(CustomerLimits_acquire(limits, "c", 2));
+    ck_assert(CustomerLimits_acquire(limits, "c", 2));
+    ck_assert(!CustomerLimits_acquire(limits, "c", 2));
+    ck_assert(CustomerLimits_acquire(limits, "other", 2));
+    CustomerLimits_release(limits, "c");
+    ck_assert(CustomerLimits_acquire(limits, "c", 2));
+    ck_assert_uint_eq(CustomerLimits_openRequests(limits, "c"), 2);
+    CustomerLimits_release(limits, "c");
+    CustomerLimits_release(limits, "c");
+    CustomerLimits_release(limits, "c");
+    ck_assert_uint_eq(CustomerLimits_openRequests(limits, "c"), 0);
     CustomerLimits_destroy(limits);
 }
 END_TEST
@@ -48,7 +48,7 @@
 END_TEST
 
 static guint
-spend_all(RetryBudget_t *budget, const char *target)
+withdraw_all(RetryBudget_t *budget, const char *target)
 {
     guint spent = 0;
     while (RetryBudget_hasRetry(budget, target)) {
@@ -58,21 +58,21 @@
     return spent;
 }
 
-START_TEST(retry_allowance_is_shared_by_all_routers)
+START_TEST(retry_allowance_is_divided_among_routers)
 {
     RetryBudget_t *budget = RetryBudget_create(20, 40);
     RetryBudget_setRouterCount(budget, 8, 1000);
-    ck_assert_uint_eq(spend_all(budget, "a"), 5);
-    ck_assert_uint_eq(spend_all(budget, "b"), 5);
+    ck_assert_uint_eq(withdraw_all(budget, "a"), 5);
+    ck_assert_uint_eq(withdraw_all(budget, "b"), 5);
     for (int i = 0; i < 1000; i++) {
         RetryBudget_deposit(budget, "a");
     }
-    ck_assert_uint_le(spend_all(budget, "a"), 5);
-    /* One that is cut off from the others keeps to its share at first. */
+    ck_assert_uint_le(withdraw_all(budget, "a"), 5);
+    /* A router that is cut off from the others keeps its share at first. */
     RetryBudget_setRouterCount(budget, 1, 2000);
-    ck_assert_uint_eq(spend_all(budget, "c"), 5);
+    ck_assert_uint_eq(withdraw_all(budget, "c"), 5);
     RetryBudget_setRouterCount(budget, 1, 100000);
-    ck_assert_uint_eq(spend_all(budget, "d"), 40);
+    ck_assert_uint_eq(withdraw_all(budget, "d"), 40);
     RetryBudget_destroy(budget);
 }
 END_TEST
@@ -80,21 +80,21 @@
 #define PERCENT 17
 #define ALLOWANCE 56
 #define ROUNDS 400
-#define WINDOW 20
+#define WINDOW_ROUNDS 20
 
-/* All routers of a platform, each with its share. */
+/* Retry budgets of all routers, each with its share of the allowance. */
 typedef struct {
     RetryBudget_t *budgets[ALLOWANCE * 6];
     guint count;
     guint moves;
-    guint earned[ROUNDS]; /* requests of each round */
-    guint spent[ROUNDS];  /* retries and moves of each round */
-} Routers_t;
+    guint requests[ROUNDS]; /* requests of each round */
+    guint spent[ROUNDS];    /* retries and moves of each round */
+} RouterBudgets_t;
 
-static Routers_t *
-create_routers(guint count)
+static RouterBudgets_t *
+create_budgets(guint count)
 {
-    Routers_t *this = g_new0(Routers_t, 1);
+    RouterBudgets_t *this = g_new0(RouterBudgets_t, 1);
     this->count = count;
     Random_seed(7);
     for (guint i = 0; i < count; i++) {
@@ -105,7 +105,7 @@
 }
 
 static void
-free_routers(Routers_t *this)
+free_budgets(RouterBudgets_t *this)
 {
     for (guint i = 0; i < this->count; i++) {
         RetryBudget_destroy(this->budgets[i]);
@@ -113,9 +113,10 @@
     g_free(this);
 }
 
-/* Each router has some requests and moves all the streams that it may. */
+/* Each router gets up to three requests and moves all streams that its budget
+ * allows. With @failures it also spends the remaining budget on retries. */
 static void
-play_round(Routers_t *this, guint round, gboolean failures)
+run_round(RouterBudgets_t *this, guint round, gboolean failures)
 {
     for (guint i = 0; i < this->count; i++) {
         RetryBudget_t *budget = this->budgets[i];
@@ -123,82 +124,86 @@
         for (guint k = 0; k < requests; k++) {
             RetryBudget_deposit(budget, "s");
         }
-        this->earned[round] += requests;
+        this->requests[round] += requests;
         while (RetryBudget_hasHeadroom(budget, "s")) {
             RetryBudget_withdraw(budget, "s");
             this->moves++;
             this->spent[round]++;
         }
         if (failures) {
-            this->spent[round] += spend_all(budget, "s");
+            this->spent[round] += withdraw_all(budget, "s");
         }
     }
 }
 
-/* In no span of rounds is more spent than the allowance and what its requests
- * have earned. */
+/* Checks that no span of up to WINDOW_ROUNDS rounds spends more than the
+ * allowance plus PERCENT of the span's requests. */
 static void
-check_spans(const Routers_t *this)
+check_windows(const RouterBudgets_t *this)
 {
     for (guint from = 0; from < ROUNDS; from++) {
         guint spent = 0;
-        guint earned = 0;
-        for (guint round = from; round < MIN(from + WINDOW, ROUNDS); round++) {
+        guint requests = 0;
+        for (guint round = from; round < MIN(from + WINDOW_ROUNDS, ROUNDS);
+             round++) {
             spent += this->spent[round];
-            earned += this->earned[round];
-            ck_assert_uint_le(spent * 100, ALLOWANCE * 100 + earned * PERCENT);
+            requests += this->requests[round];
+            ck_assert_uint_le(spent * 100,
+                              ALLOWANCE * 100 + requests * PERCENT);
         }
     }
 }
 
-START_TEST(many_routers_move_streams_within_the_allowance)
+START_TEST(routers_move_streams_within_the_shared_allowance)
 {
     static const guint counts[] = {1, 8, 28, 29, 40, 56};
     for (gsize i = 0; i < G_N_ELEMENTS(counts); i++) {
         for (int failures = 0; failures < 2; failures++) {
-            Routers_t *routers = create_routers(counts[i]);
+            RouterBudgets_t *routers = create_budgets(counts[i]);
             for (guint round = 0; round < ROUNDS; round++) {
-                play_round(routers, round, failures && round % 3 == 0);
+                run_round(routers, round, failures && round % 3 == 0);
             }
-            check_spans(routers);
+            check_windows(routers);
             ck_assert_uint_gt(routers->moves, 0);
-            free_routers(routers);
+            free_budgets(routers);
         }
     }
 }
 END_TEST
 
-/* Together, where a share is too small to be halved; what a move leaves of a
- * share just under two is whole again with the next request. */
-START_TEST(many_routers_keep_half_of_the_retries_for_failures)
+/* Holds for all routers together, as a single share may be too small to be
+ * halved. After a move from a share just under two retries, the next request
+ * restores a complete retry. */
+START_TEST(moves_leave_about_half_of_the_retries_for_failures)
 {
     static const guint counts[] = {8, 29, 40, 56};
     for (gsize i = 0; i < G_N_ELEMENTS(counts); i++) {
-        Routers_t *routers = create_routers(counts[i]);
-        play_round(routers, 0, FALSE);
-        guint kept = 0;
+        RouterBudgets_t *routers = create_budgets(counts[i]);
+        run_round(routers, 0, FALSE);
+        guint retries_left = 0;
         for (guint k = 0; k < counts[i]; k++) {
             RetryBudget_deposit(routers->budgets[k], "s");
-            kept += spend_all(routers->budgets[k], "s");
+            retries_left += withdraw_all(routers->budgets[k], "s");
         }
         ck_assert_uint_gt(routers->moves, 0);
         ck_assert_uint_le(routers->moves, ALLOWANCE * 2 / 3);
-        ck_assert_uint_ge(kept, counts[i] / 4);
-        free_routers(routers);
+        ck_assert_uint_ge(retries_left, counts[i] / 4);
+        free_budgets(routers);
     }
 }
 END_TEST
 
-/* Their balances together may be more than the allowance, so that one may be
- * retried at all; that is for failures, which are rarely everywhere. */
+/* With more routers than the allowance, their balances together may exceed the
+ * allowance, so that each router can retry at all. This excess is for
+ * failures, which rarely occur on all routers at once, and not for moves. */
 START_TEST(more_routers_than_the_allowance_move_no_streams)
 {
-    Routers_t *routers = create_routers(ALLOWANCE * 5);
+    RouterBudgets_t *routers = create_budgets(ALLOWANCE * 5);
     for (guint round = 0; round < ROUNDS; round++) {
-        play_round(routers, round, FALSE);
+        run_round(routers, round, FALSE);
     }
     ck_assert_uint_eq(routers->moves, 0);
-    free_routers(routers);
+    free_budgets(routers);
 }
 END_TEST
 
@@ -209,25 +214,25 @@
     for (guint64 i = 1; i <= 100000; i++) {
         Histogram_record(&histogram, i);
     }
-    guint64 middle = Histogram_quantile(&histogram, 0.5);
-    guint64 late = Histogram_quantile(&histogram, 0.99);
-    ck_assert_uint_ge(middle, 50000);
-    ck_assert_uint_le(middle, 50000 + 50000 / HISTOGRAM_STEPS);
-    ck_assert_uint_ge(late, 99000);
-    ck_assert_uint_le(late, 99000 + 99000 / HISTOGRAM_STEPS);
+    guint64 median = Histogram_quantile(&histogram, 0.5);
+    guint64 p99 = Histogram_quantile(&histogram, 0.99);
+    ck_assert_uint_ge(median, 50000);
+    ck_assert_uint_le(median, 50000 + 50000 / HISTOGRAM_STEPS);
+    ck_assert_uint_ge(p99, 99000);
+    ck_assert_uint_le(p99, 99000 + 99000 / HISTOGRAM_STEPS);
     Histogram_record(&histogram, G_MAXUINT64);
     ck_assert_uint_gt(Histogram_quantile(&histogram, 1.0), 100000);
 }
 END_TEST
 
 static void
-sum_up(const char *name, guint64 value, void *data)
+add_value(const char *name, guint64 value, void *data)
 {
     (void)name;
     *(guint64 *)data += value;
 }
 
-START_TEST(counters_are_bounded_and_lose_nothing)
+START_TEST(counters_are_bounded_and_keep_their_sum)
 {
     Counters_t *counters = Counters_create();
     for (guint i = 0; i < COUNTERS_MAX * 2; i++) {
@@ -235,7 +240,7 @@
         Counters_add(counters, "many", labels, 1);
     }
     guint64 sum = 0;
-    Counters_forEach(counters, "", sum_up, &sum);
+    Counters_forEach(counters, "", add_value, &sum);
     ck_assert_uint_eq(sum, COUNTERS_MAX * 2);
     ck_assert_uint_eq(Counters_value(counters, "many", "n=\"0\""), 1);
     Counters_destroy(counters);
@@ -274,7 +279,7 @@
     return upstream;
 }
 
-START_TEST(ejected_upstream_returns_by_one_probe)
+START_TEST(ejected_upstream_returns_after_one_probe)
 {
     Upstream_t *upstream = create_upstream();
     ck_assert(!Upstream_noteFailure(upstream, 2, 100, 0));
@@ -293,7 +298,7 @@
 }
 END_TEST
 
-START_TEST(leaving_holds_for_its_incarnation_only)
+START_TEST(leaving_applies_to_its_incarnation_only)
 {
     Upstream_t *upstream = create_upstream();
     Upstream_noteIncarnation(upstream, 5, 0);
@@ -310,11 +315,12 @@
 }
 END_TEST
 
-TESTING_MAIN("Limits", open_requests_are_held, retries_are_a_share_of_requests,
-             retry_allowance_is_shared_by_all_routers,
-             many_routers_move_streams_within_the_allowance,
-             many_routers_keep_half_of_the_retries_for_failures,
+TESTING_MAIN("Limits", open_requests_are_limited,
+             retries_are_a_share_of_requests,
+             retry_allowance_is_divided_among_routers,
+             routers_move_streams_within_the_shared_allowance,
+             moves_leave_about_half_of_the_retries_for_failures,
              more_routers_than_the_allowance_move_no_streams,
-             quantiles_are_close, counters_are_bounded_and_lose_nothing,
-             traces_are_bounded, ejected_upstream_returns_by_one_probe,
-             leaving_holds_for_its_incarnation_only)
+             quantiles_are_close, counters_are_bounded_and_keep_their_sum,
+             traces_are_bounded, ejected_upstream_returns_after_one_probe,
+             leaving_applies_to_its_incarnation_only)
--- a/tests/test_NoticeNews.c
+++ b/tests/test_NoticeNews.c
@@ -24,7 +24,7 @@
 {
     (void)owner;
     gboolean is_news =
-        UpstreamLimit_takeFact(&upstream->limit, &fact->limit, Clock_nowMs());
+        UpstreamLimit_applyFact(&upstream->limit, &fact->limit, Clock_nowMs());
     is_news =
         (fact->leaving && Upstream_noteLeaving(upstream, 0, 1)) || is_news;
     taken += is_news ? 1 : 0;
@@ -63,7 +63,7 @@
 limited(const char *name, double per_s)
 {
     Upstream_t *upstream = put(name);
-    NamedLimit_t said = {LIMIT_NAMED, per_s};
+    AdvertisedLimit_t said = {LIMIT_ADVERTISED, per_s};
     Upstream_noteIncarnation(upstream, 1, 0);
     UpstreamLimit_noteAnswer(&upstream->limit, &said, 0, 1);
     return upstream;
--- a/tests/test_Policy.c
+++ b/tests/test_Policy.c
@@ -281,7 +281,7 @@
 static void
 set_limit(guint i, double per_s)
 {
-    NamedLimit_t limit = {LIMIT_NAMED, per_s};
+    AdvertisedLimit_t limit = {LIMIT_ADVERTISED, per_s};
     UpstreamLimit_noteAnswer(&engine_at(i)->limit, &limit, 0, 1);
 }
 
@@ -337,7 +337,7 @@
 static void
 set_backoff(guint i, gint64 for_ms)
 {
-    ck_assert(UpstreamRest_note(&engine_at(i)->rest, for_ms, 1000));
+    ck_assert(UpstreamBackoff_note(&engine_at(i)->rest, for_ms, 1000));
 }
 
 START_TEST(a_backed_off_upstream_is_not_used_as_a_last_resort)
@@ -369,7 +369,7 @@
     Policy_t *policy = Policies_create(POLICY_HOME);
     set_backoff(0, 100);
     request.now_ms = engine_at(0)->rest.until_ms;
-    UpstreamRest_noteSent(&engine_at(0)->rest, request.now_ms);
+    UpstreamBackoff_noteSent(&engine_at(0)->rest, request.now_ms);
     ck_assert(!Policy_mayUse(&request, engine_at(0)));
     ck_assert_ptr_eq(Policy_choose(policy, &request).upstream, engine_at(0));
     Policy_destroy(policy);
--- a/tests/test_RateKeeper.c
+++ b/tests/test_RateKeeper.c
@@ -3,21 +3,22 @@
 #include "FakeRates.h"
 #include "Log.h"
 
-/* Customers like those of a fleet of 90 routers: a large one, and one whose
- * limit is three requests a second. */
+/* Two customers of a fleet of 90 routers: a large one, and one whose limit is
+ * three requests per second. Loads are fractions of the limit. */
 #define LARGE_PER_S 250000
 #define SMALL_PER_S 29000
 #define REQUEST_UNITS 9190
 #define HOT_LOAD 5
 #define USUAL_LOAD 0.55
 #define SEEDS 8
-/* What routers may let in beyond a limit in eight seconds and a burst: a tenth
- * of it, and a dozen requests on the mean. */
-#define EXCESS_PART 0.9
+/* What the routers may admit beyond a limit in any eight seconds, in seconds
+ * of its rate: a tenth of what eight seconds and the burst allow, plus a dozen
+ * requests of mean size. */
+#define EXCESS_FRACTION 0.9
 #define EXCESS_REQUESTS 12
 
 static FakeRatesSpec_t
-usual(double per_s, double load)
+base_spec(double per_s, double load)
 {
     return (FakeRatesSpec_t){
         .way = FAKE_RATES_ASK,
@@ -32,7 +33,7 @@
 }
 
 static double
-part_of(const FakeRatesSpec_t *spec, const FakeRatesResult_t *result)
+admitted_fraction(const FakeRatesSpec_t *spec, const FakeRatesResult_t *result)
 {
     return result->admitted_units / spec->per_s / spec->seconds;
 }
@@ -40,11 +41,11 @@
 static double
 excess_allowed(const FakeRatesSpec_t *spec)
 {
-    return EXCESS_PART + EXCESS_REQUESTS * REQUEST_UNITS / spec->per_s;
+    return EXCESS_FRACTION + EXCESS_REQUESTS * REQUEST_UNITS / spec->per_s;
 }
 
 static void
-check_bound(FakeRatesSpec_t spec)
+check_excess(FakeRatesSpec_t spec)
 {
     spec.seconds = 40;
     for (spec.seed = 1; spec.seed <= SEEDS; spec.seed++) {
@@ -56,88 +57,91 @@
 }
 
 static void
-check_bounds(FakeRatesSpec_t spec)
+check_excess_of_both_sizes(FakeRatesSpec_t spec)
 {
     spec.per_s = LARGE_PER_S;
-    check_bound(spec);
+    check_excess(spec);
     spec.per_s = SMALL_PER_S;
-    check_bound(spec);
+    check_excess(spec);
 }
 
-START_TEST(a_customer_at_five_times_its_share_gets_its_limit)
+START_TEST(a_customer_at_five_times_its_limit_gets_its_limit)
 {
     static const guint routers[] = {2, 8, 90, 300};
     for (gsize i = 0; i < G_N_ELEMENTS(routers); i++) {
-        FakeRatesSpec_t spec = usual(LARGE_PER_S, HOT_LOAD);
+        FakeRatesSpec_t spec = base_spec(LARGE_PER_S, HOT_LOAD);
         spec.routers = routers[i];
         spec.callers_at = routers[i];
         FakeRatesResult_t result = FakeRates_play(&spec);
-        ck_assert_double_ge(part_of(&spec, &result), 0.95);
-        ck_assert_double_le(part_of(&spec, &result), 1.06);
+        ck_assert_double_ge(admitted_fraction(&spec, &result), 0.95);
+        ck_assert_double_le(admitted_fraction(&spec, &result), 1.06);
         ck_assert_double_le(result.excess, 0);
     }
 }
 END_TEST
 
-/* The same load without a count that sees all of it: nothing holds it, or most
- * of what fits is refused. */
-START_TEST(neither_no_limit_nor_a_share_each_does)
+/* Without a count of the whole load, the excess is unbounded, or requests
+ * within the limit are refused. */
+START_TEST(no_limit_or_fixed_shares_admit_too_much_or_too_little)
 {
-    FakeRatesSpec_t spec = usual(SMALL_PER_S, HOT_LOAD);
+    FakeRatesSpec_t spec = base_spec(SMALL_PER_S, HOT_LOAD);
     spec.way = FAKE_RATES_NONE;
     FakeRatesResult_t none = FakeRates_play(&spec);
     ck_assert_double_ge(none.excess, excess_allowed(&spec));
     spec.way = FAKE_RATES_SHARE;
     FakeRatesResult_t share = FakeRates_play(&spec);
     ck_assert_double_ge(share.excess, excess_allowed(&spec));
-    spec = usual(LARGE_PER_S, USUAL_LOAD);
+    spec = base_spec(LARGE_PER_S, USUAL_LOAD);
     spec.way = FAKE_RATES_SHARE;
     share = FakeRates_play(&spec);
     ck_assert_uint_ge(share.refused * 10, share.asked);
 }
 END_TEST
 
-/* Beside what one bucket for all would refuse as well, which a customer of few
- * requests a second meets by chance; @most of 1,000 requests more. */
+/* Checks that at most @extra_per_1000 of 1,000 requests are refused beyond
+ * those that a single bucket for all routers would refuse. A customer with few
+ * requests per second gets some of the latter at random. */
 static void
-check_nothing_wrong(guint routers, guint callers_at, double per_s, double load,
-                    guint most)
+check_refusals(guint routers, guint callers_at, double per_s, double load,
+               guint extra_per_1000)
 {
-    FakeRatesSpec_t spec = usual(per_s, load);
+    FakeRatesSpec_t spec = base_spec(per_s, load);
     guint refused = 0;
-    guint by_one = 0;
+    guint refused_by_one_bucket = 0;
     guint asked = 0;
     spec.routers = routers;
     spec.callers_at = callers_at;
     for (spec.seed = 1; spec.seed <= 2 * SEEDS; spec.seed++) {
         FakeRatesResult_t result = FakeRates_play(&spec);
         refused += result.refused;
-        by_one += result.refused_by_one;
+        refused_by_one_bucket += result.refused_by_one;
         asked += result.asked;
     }
     ck_assert_msg(
-        refused * 1000 <= by_one * 1000 + asked * most,
+        refused * 1000 <=
+            refused_by_one_bucket * 1000 + asked * extra_per_1000,
         "%u routers, callers at %u, per_s %.0f: %u, by one %u, of %u", routers,
-        callers_at, per_s, refused, by_one, asked);
+        callers_at, per_s, refused, refused_by_one_bucket, asked);
 }
 
-START_TEST(what_fits_is_let_in)
+START_TEST(requests_within_the_limit_are_admitted)
 {
-    check_nothing_wrong(90, 90, LARGE_PER_S, 0.9, 1);
-    check_nothing_wrong(90, 1, LARGE_PER_S, 0.9, 1);
-    check_nothing_wrong(300, 300, LARGE_PER_S, 0.9, 1);
-    check_nothing_wrong(300, 1, LARGE_PER_S, 0.9, 1);
-    check_nothing_wrong(90, 90, LARGE_PER_S, USUAL_LOAD, 1);
-    check_nothing_wrong(90, 90, SMALL_PER_S, USUAL_LOAD, 10);
+    check_refusals(90, 90, LARGE_PER_S, 0.9, 1);
+    check_refusals(90, 1, LARGE_PER_S, 0.9, 1);
+    check_refusals(300, 300, LARGE_PER_S, 0.9, 1);
+    check_refusals(300, 1, LARGE_PER_S, 0.9, 1);
+    check_refusals(90, 90, LARGE_PER_S, USUAL_LOAD, 1);
+    check_refusals(90, 90, SMALL_PER_S, USUAL_LOAD, 10);
 }
 END_TEST
 
-/* A question and its answer for each request, and little besides. */
-START_TEST(messages_grow_with_the_requests_not_with_the_routers)
+/* Each request costs a query and its reply, and at most one message more on
+ * average. */
+START_TEST(messages_scale_with_requests_not_with_routers)
 {
     static const guint routers[] = {90, 300};
     for (gsize i = 0; i < G_N_ELEMENTS(routers); i++) {
-        FakeRatesSpec_t spec = usual(LARGE_PER_S, USUAL_LOAD);
+        FakeRatesSpec_t spec = base_spec(LARGE_PER_S, USUAL_LOAD);
         spec.routers = routers[i];
         spec.callers_at = routers[i];
         spec.seconds = 60;
@@ -147,10 +151,10 @@
 }
 END_TEST
 
-/* In this play a message takes two milliseconds on the mean. */
-START_TEST(a_request_waits_for_one_answer_at_the_most)
+/* In the simulated network a message takes 2 ms on average. */
+START_TEST(a_request_waits_for_at_most_one_reply)
 {
-    FakeRatesSpec_t spec = usual(LARGE_PER_S, 0.9);
+    FakeRatesSpec_t spec = base_spec(LARGE_PER_S, 0.9);
     FakeRatesResult_t result = FakeRates_play(&spec);
     ck_assert_double_le(result.mean_wait_ms, 4);
     spec.load = USUAL_LOAD;
@@ -159,46 +163,47 @@
 }
 END_TEST
 
-START_TEST(the_bound_holds_while_the_network_is_cut)
+START_TEST(excess_is_bounded_while_the_network_is_partitioned)
 {
-    FakeRatesSpec_t spec = usual(LARGE_PER_S, HOT_LOAD);
+    FakeRatesSpec_t spec = base_spec(LARGE_PER_S, HOT_LOAD);
     spec.cuts = TRUE;
-    check_bounds(spec);
+    check_excess_of_both_sizes(spec);
 }
 END_TEST
 
-START_TEST(the_bound_holds_while_routers_die)
+START_TEST(excess_is_bounded_while_routers_are_killed)
 {
-    FakeRatesSpec_t spec = usual(LARGE_PER_S, HOT_LOAD);
+    FakeRatesSpec_t spec = base_spec(LARGE_PER_S, HOT_LOAD);
     spec.kills = TRUE;
-    check_bounds(spec);
+    check_excess_of_both_sizes(spec);
 }
 END_TEST
 
-START_TEST(the_bound_holds_while_routers_stand_still)
+START_TEST(excess_is_bounded_while_routers_stall)
 {
-    FakeRatesSpec_t spec = usual(LARGE_PER_S, HOT_LOAD);
+    FakeRatesSpec_t spec = base_spec(LARGE_PER_S, HOT_LOAD);
     spec.pauses = TRUE;
-    check_bounds(spec);
+    check_excess_of_both_sizes(spec);
 }
 END_TEST
 
-START_TEST(the_bound_holds_with_all_of_it_and_other_limits)
+START_TEST(excess_is_bounded_with_all_faults_and_changing_limits)
 {
-    FakeRatesSpec_t spec = usual(LARGE_PER_S, HOT_LOAD);
+    FakeRatesSpec_t spec = base_spec(LARGE_PER_S, HOT_LOAD);
     spec.cuts = TRUE;
     spec.kills = TRUE;
     spec.pauses = TRUE;
-    check_bounds(spec);
+    check_excess_of_both_sizes(spec);
     spec.changes = TRUE;
-    check_bounds(spec);
+    check_excess_of_both_sizes(spec);
 }
 END_TEST
 
-/* A customer at half of its limit, as the routers fall apart. */
-START_TEST(faults_refuse_little_of_what_fits)
+/* The customer sends 0.55 of its limit while routers are cut off and killed.
+ */
+START_TEST(faults_refuse_few_requests_within_the_limit)
 {
-    FakeRatesSpec_t spec = usual(LARGE_PER_S, USUAL_LOAD);
+    FakeRatesSpec_t spec = base_spec(LARGE_PER_S, USUAL_LOAD);
     guint refused = 0;
     guint asked = 0;
     spec.cuts = TRUE;
@@ -213,9 +218,10 @@
 }
 END_TEST
 
-/* An engine in need got 24 requests in four seconds from eight routers where
- * it had named 1.7 a second. Four times what it takes is asked for here; the
- * users allow one and a half times the limit and five. */
+/* Regression: an overloaded engine that advertised 1.7 requests per second got
+ * 24 requests in four seconds from eight routers. Here the callers send four
+ * times the limit. The requirement allows one and a half times the limit plus
+ * five requests in four seconds. */
 static FakeRatesSpec_t
 limited_upstream(guint routers, double per_s)
 {
@@ -231,46 +237,47 @@
     };
 }
 
-static const guint fleets[] = {4, 24, 100, 300};
+static const guint fleet_sizes[] = {4, 24, 100, 300};
 static const double upstream_limits[] = {0.6, 1.7, 20};
 
 typedef struct {
-    double most;
-    double part; /* of the limit, on the mean of all seeds */
-} Upstreams_t;
+    double max_in_4_s;    /* most requests admitted in any four seconds */
+    double mean_fraction; /* of the limit, mean over all seeds */
+} UpstreamResult_t;
 
-static Upstreams_t
-play_upstream(FakeRatesSpec_t spec)
+static UpstreamResult_t
+run_upstream(FakeRatesSpec_t spec)
 {
-    Upstreams_t found = {0, 0};
+    UpstreamResult_t total = {0, 0};
     for (spec.seed = 1; spec.seed <= SEEDS; spec.seed++) {
         FakeRatesResult_t result = FakeRates_play(&spec);
-        found.most = MAX(found.most, result.most);
-        found.part += part_of(&spec, &result) / SEEDS;
+        total.max_in_4_s = MAX(total.max_in_4_s, result.most);
+        total.mean_fraction += admitted_fraction(&spec, &result) / SEEDS;
     }
-    return found;
+    return total;
 }
 
-START_TEST(an_upstream_gets_what_it_takes)
+START_TEST(an_upstream_gets_its_limit_and_no_more)
 {
-    for (gsize i = 0; i < G_N_ELEMENTS(fleets); i++) {
+    for (gsize i = 0; i < G_N_ELEMENTS(fleet_sizes); i++) {
         for (gsize k = 0; k < G_N_ELEMENTS(upstream_limits); k++) {
             double per_s = upstream_limits[k];
-            Upstreams_t found =
-                play_upstream(limited_upstream(fleets[i], per_s));
+            UpstreamResult_t result =
+                run_upstream(limited_upstream(fleet_sizes[i], per_s));
             double burst = MAX(1, per_s / 2);
-            ck_assert_msg(found.most <= 4 * per_s + burst + 1,
-                          "%u routers, per_s %.1f: %.0f", fleets[i], per_s,
-                          found.most);
-            ck_assert_msg(found.part >= 0.9, "%u routers, per_s %.1f: %.2f",
-                          fleets[i], per_s, found.part);
+            ck_assert_msg(result.max_in_4_s <= 4 * per_s + burst + 1,
+                          "%u routers, per_s %.1f: %.0f", fleet_sizes[i],
+                          per_s, result.max_in_4_s);
+            ck_assert_msg(result.mean_fraction >= 0.9,
+                          "%u routers, per_s %.1f: %.2f", fleet_sizes[i],
+                          per_s, result.mean_fraction);
         }
     }
 }
 END_TEST
 
-/* Two for each request that is asked for, and four a second for each of a few
- * others that show that they are reached. */
+/* Two messages for each query, plus four probes per second to each of at most
+ * ten routers. */
 START_TEST(an_upstreams_count_costs_few_messages)
 {
     FakeRatesSpec_t spec = limited_upstream(300, 1.7);
@@ -281,59 +288,61 @@
 }
 END_TEST
 
-START_TEST(an_upstreams_bound_holds_under_faults)
+START_TEST(an_upstreams_limit_is_enforced_under_faults)
 {
-    for (gsize i = 0; i < G_N_ELEMENTS(fleets); i++) {
+    for (gsize i = 0; i < G_N_ELEMENTS(fleet_sizes); i++) {
         for (gsize k = 0; k < G_N_ELEMENTS(upstream_limits); k++) {
             double per_s = upstream_limits[k];
-            FakeRatesSpec_t spec = limited_upstream(fleets[i], per_s);
+            FakeRatesSpec_t spec = limited_upstream(fleet_sizes[i], per_s);
             spec.cuts = TRUE;
             spec.kills = TRUE;
             spec.pauses = TRUE;
-            Upstreams_t found = play_upstream(spec);
-            ck_assert_msg(found.most <= 6 * per_s + 5,
-                          "%u routers, per_s %.1f: %.0f", fleets[i], per_s,
-                          found.most);
-            ck_assert_double_ge(found.part, 0.5);
+            UpstreamResult_t result = run_upstream(spec);
+            ck_assert_msg(result.max_in_4_s <= 6 * per_s + 5,
+                          "%u routers, per_s %.1f: %.0f", fleet_sizes[i],
+                          per_s, result.max_in_4_s);
+            ck_assert_double_ge(result.mean_fraction, 0.5);
         }
     }
 }
 END_TEST
 
-/* Neither no count nor a share each holds the limit and leaves nothing idle.
- */
-START_TEST(an_upstreams_limit_needs_one_count)
+/* Without a count the limit is exceeded; with fixed shares most of it stays
+ * unused. */
+START_TEST(an_upstreams_limit_needs_one_shared_count)
 {
     FakeRatesSpec_t spec = limited_upstream(100, 1.7);
     spec.way = FAKE_RATES_NONE;
-    ck_assert_double_gt(play_upstream(spec).most, 6 * 1.7 + 5);
+    ck_assert_double_gt(run_upstream(spec).max_in_4_s, 6 * 1.7 + 5);
     spec.way = FAKE_RATES_SHARE;
-    ck_assert_double_lt(play_upstream(spec).part, 0.5);
+    ck_assert_double_lt(run_upstream(spec).mean_fraction, 0.5);
 }
 END_TEST
 
 static void
-quieten(void)
+silence_logs(void)
 {
     Log_setLevel(LOG_LEVEL_ERROR);
 }
 
-START_TEST(logs_are_left_out)
+START_TEST(logs_are_silenced)
 {
-    quieten();
+    silence_logs();
 }
 END_TEST
 
-TESTING_MAIN("RateKeeper", logs_are_left_out,
-             a_customer_at_five_times_its_share_gets_its_limit,
-             neither_no_limit_nor_a_share_each_does, what_fits_is_let_in,
-             messages_grow_with_the_requests_not_with_the_routers,
-             a_request_waits_for_one_answer_at_the_most,
-             the_bound_holds_while_the_network_is_cut,
-             the_bound_holds_while_routers_die,
-             the_bound_holds_while_routers_stand_still,
-             the_bound_holds_with_all_of_it_and_other_limits,
-             faults_refuse_little_of_what_fits, an_upstream_gets_what_it_takes,
+TESTING_MAIN("RateKeeper", logs_are_silenced,
+             a_customer_at_five_times_its_limit_gets_its_limit,
+             no_limit_or_fixed_shares_admit_too_much_or_too_little,
+             requests_within_the_limit_are_admitted,
+             messages_scale_with_requests_not_with_routers,
+             a_request_waits_for_at_most_one_reply,
+             excess_is_bounded_while_the_network_is_partitioned,
+             excess_is_bounded_while_routers_are_killed,
+             excess_is_bounded_while_routers_stall,
+             excess_is_bounded_with_all_faults_and_changing_limits,
+             faults_refuse_few_requests_within_the_limit,
+             an_upstream_gets_its_limit_and_no_more,
              an_upstreams_count_costs_few_messages,
-             an_upstreams_bound_holds_under_faults,
-             an_upstreams_limit_needs_one_count)
+             an_upstreams_limit_is_enforced_under_faults,
+             an_upstreams_limit_needs_one_shared_count)
--- a/tests/test_TokenBucket.c
+++ b/tests/test_TokenBucket.c
@@ -5,50 +5,50 @@
 static const RateLimit_t limit = {.per_s = 10, .burst = 5, .version = 3};
 
 static TokenBucket_t
-full(const RateLimit_t *of)
+create_full_bucket(const RateLimit_t *of)
 {
     TokenBucket_t bucket;
     TokenBucket_init(&bucket, of, 1, 0);
     return bucket;
 }
 
-START_TEST(rate_is_held_over_time)
+START_TEST(rate_is_enforced_over_time)
 {
-    TokenBucket_t bucket = full(&limit);
-    guint entered = 0;
+    TokenBucket_t bucket = create_full_bucket(&limit);
+    guint admitted = 0;
     for (gint64 now = 0; now <= 10000; now += 10) {
-        entered += TokenBucket_take(&bucket, 1, now) ? 1 : 0;
+        admitted += TokenBucket_take(&bucket, 1, now) ? 1 : 0;
     }
-    ck_assert_uint_ge(entered, 104);
-    ck_assert_uint_le(entered, 106);
+    ck_assert_uint_ge(admitted, 104);
+    ck_assert_uint_le(admitted, 106);
 }
 END_TEST
 
-START_TEST(what_is_larger_than_the_depth_is_served_and_owed)
+START_TEST(a_request_larger_than_the_depth_is_admitted_and_leaves_a_debt)
 {
-    TokenBucket_t bucket = full(&limit);
+    TokenBucket_t bucket = create_full_bucket(&limit);
     ck_assert(TokenBucket_take(&bucket, 25, 0));
     ck_assert(!TokenBucket_take(&bucket, 1, 1990));
     ck_assert(TokenBucket_take(&bucket, 1, 2010));
 }
 END_TEST
 
-START_TEST(a_limit_without_a_burst_lets_its_rate_through)
+START_TEST(a_limit_without_a_burst_admits_its_rate)
 {
-    RateLimit_t bare = {.per_s = 10};
-    TokenBucket_t bucket = full(&bare);
-    guint entered = 0;
+    RateLimit_t rate_only = {.per_s = 10};
+    TokenBucket_t bucket = create_full_bucket(&rate_only);
+    guint admitted = 0;
     for (gint64 now = 0; now <= 10000; now += 200) {
-        entered += TokenBucket_take(&bucket, 1, now) ? 1 : 0;
-        entered += TokenBucket_take(&bucket, 1, now) ? 1 : 0;
+        admitted += TokenBucket_take(&bucket, 1, now) ? 1 : 0;
+        admitted += TokenBucket_take(&bucket, 1, now) ? 1 : 0;
     }
-    ck_assert_uint_ge(entered, 98);
+    ck_assert_uint_ge(admitted, 98);
 }
 END_TEST
 
-START_TEST(a_lower_limit_takes_what_is_left_and_an_older_one_nothing)
+START_TEST(a_lower_limit_caps_the_level_and_an_older_version_is_ignored)
 {
-    TokenBucket_t bucket = full(&limit);
+    TokenBucket_t bucket = create_full_bucket(&limit);
     RateLimit_t lower = {.per_s = 1, .burst = 1, .version = 4};
     TokenBucket_setLimit(&bucket, &lower, 0);
     ck_assert_double_le(bucket.level, 1);
@@ -60,14 +60,15 @@
 }
 END_TEST
 
-/* Those that were refused at one moment come back one after the other. */
-START_TEST(who_is_refused_comes_back_in_turn)
+/* Requests refused at the same moment are told to retry one after the other.
+ */
+START_TEST(refused_requests_get_increasing_retry_times)
 {
-    TokenBucket_t bucket = full(&limit);
+    TokenBucket_t bucket = create_full_bucket(&limit);
     ck_assert(TokenBucket_take(&bucket, 6, 0));
-    guint first = TokenBucket_refuse(&bucket, 5, 0);
-    guint second = TokenBucket_refuse(&bucket, 5, 0);
-    guint third = TokenBucket_refuse(&bucket, 5, 0);
+    guint first = TokenBucket_noteRefused(&bucket, 5, 0);
+    guint second = TokenBucket_noteRefused(&bucket, 5, 0);
+    guint third = TokenBucket_noteRefused(&bucket, 5, 0);
     ck_assert_uint_eq(first, 100);
     ck_assert_uint_eq(second, 600);
     ck_assert_uint_eq(third, 1100);
@@ -77,47 +78,47 @@
 }
 END_TEST
 
-START_TEST(what_is_given_back_is_there_again)
+START_TEST(refunded_units_can_be_taken_again)
 {
-    TokenBucket_t bucket = full(&limit);
+    TokenBucket_t bucket = create_full_bucket(&limit);
     ck_assert(TokenBucket_take(&bucket, 6, 0));
-    TokenBucket_giveBack(&bucket, 6, 0);
+    TokenBucket_refund(&bucket, 6, 0);
     ck_assert(TokenBucket_take(&bucket, 5, 0));
     ck_assert(!TokenBucket_take(&bucket, 1, 0));
-    TokenBucket_giveBack(&bucket, 1000, 0);
-    ck_assert_double_eq(TokenBucket_part(&bucket, 0), 1);
+    TokenBucket_refund(&bucket, 1000, 0);
+    ck_assert_double_eq(TokenBucket_fraction(&bucket, 0), 1);
 }
 END_TEST
 
-START_TEST(time_that_goes_back_fills_nothing)
+START_TEST(a_clock_that_goes_back_does_not_refill)
 {
-    TokenBucket_t bucket = full(&limit);
+    TokenBucket_t bucket = create_full_bucket(&limit);
     ck_assert(TokenBucket_take(&bucket, 5, 10000));
     ck_assert(!TokenBucket_take(&bucket, 1, 0));
     ck_assert(!TokenBucket_take(&bucket, 1, 10000));
 }
 END_TEST
 
-START_TEST(very_large_and_very_small_limits_stay_numbers)
+START_TEST(very_large_and_very_small_limits_give_finite_results)
 {
     static const double rates[] = {1e-9, 0.3, 1, 1e18, 1e300};
     for (gsize i = 0; i < G_N_ELEMENTS(rates); i++) {
-        RateLimit_t odd = {.per_s = rates[i], .burst = rates[i]};
-        TokenBucket_t bucket = full(&odd);
+        RateLimit_t extreme = {.per_s = rates[i], .burst = rates[i]};
+        TokenBucket_t bucket = create_full_bucket(&extreme);
         ck_assert(TokenBucket_take(&bucket, 9000, 0));
-        guint wait = TokenBucket_refuse(&bucket, 9000, 1);
-        ck_assert_uint_ge(wait, 1);
-        ck_assert_uint_le(wait, 10000);
-        ck_assert(TokenBucket_part(&bucket, 1) <= 1);
+        guint retry_after_ms = TokenBucket_noteRefused(&bucket, 9000, 1);
+        ck_assert_uint_ge(retry_after_ms, 1);
+        ck_assert_uint_le(retry_after_ms, 10000);
+        ck_assert(TokenBucket_fraction(&bucket, 1) <= 1);
     }
 }
 END_TEST
 
-TESTING_MAIN("TokenBucket", rate_is_held_over_time,
-             what_is_larger_than_the_depth_is_served_and_owed,
-             a_limit_without_a_burst_lets_its_rate_through,
-             a_lower_limit_takes_what_is_left_and_an_older_one_nothing,
-             who_is_refused_comes_back_in_turn,
-             what_is_given_back_is_there_again,
-             time_that_goes_back_fills_nothing,
-             very_large_and_very_small_limits_stay_numbers)
+TESTING_MAIN("TokenBucket", rate_is_enforced_over_time,
+             a_request_larger_than_the_depth_is_admitted_and_leaves_a_debt,
+             a_limit_without_a_burst_admits_its_rate,
+             a_lower_limit_caps_the_level_and_an_older_version_is_ignored,
+             refused_requests_get_increasing_retry_times,
+             refunded_units_can_be_taken_again,
+             a_clock_that_goes_back_does_not_refill,
+             very_large_and_very_small_limits_give_finite_results)
--- a/tests/test_UpstreamGate.c
+++ b/tests/test_UpstreamGate.c
@@ -19,9 +19,9 @@
     void *owner;
 } FakeCount_t;
 
-static RateAsk_t *
-enter(RateLimits_t *super, const RateRequest_t *request, RateVerdict_t *out,
-      RateDone_t done, void *owner)
+static RateQuery_t *
+acquire(RateLimits_t *super, const RateRequest_t *request, RateVerdict_t *out,
+        RateDone_t done, void *owner)
 {
     FakeCount_t *this = (FakeCount_t *)super;
     ck_assert(request->limit.exact);
@@ -30,24 +30,24 @@
     this->done = done;
     this->owner = owner;
     *out = this->verdict;
-    return this->answers_later ? (RateAsk_t *)this : NULL;
+    return this->answers_later ? (RateQuery_t *)this : NULL;
 }
 
 static void
-cancel(RateAsk_t *ask)
+cancel(RateQuery_t *ask)
 {
     ((FakeCount_t *)ask)->cancelled++;
 }
 
 static void
-give_back(RateLimits_t *super, const RateRequest_t *request)
+refund(RateLimits_t *super, const RateRequest_t *request)
 {
     ck_assert_double_eq(request->units, 1);
     ((FakeCount_t *)super)->given_back++;
 }
 
 static const RateLimitsClass_t class = {
-    .name = "fake", .enter = enter, .cancel = cancel, .give_back = give_back};
+    .name = "fake", .acquire = acquire, .cancel = cancel, .refund = refund};
 
 static FakeRouters_t routers;
 static Counters_t *counters;
@@ -68,9 +68,9 @@
 static void
 name_limit(Upstream_t *to, const char *text)
 {
-    NamedLimit_t said = {.kind = LIMIT_ABSENT};
+    AdvertisedLimit_t said = {.kind = LIMIT_ABSENT};
     if (text) {
-        said = NamedLimit_parse(text);
+        said = AdvertisedLimit_parse(text);
     }
     UpstreamLimits_noteAnswer(limits, to, &said, G_MAXINT64, "r1");
 }
--- a/tests/test_UpstreamNotice.c
+++ b/tests/test_UpstreamNotice.c
@@ -4,8 +4,8 @@
 #include <string.h>
 #include <sys/queue.h>
 
+#include "UpstreamBackoff.h"
 #include "UpstreamNotice.h"
-#include "UpstreamRest.h"
 
 static const UpstreamNoticeForm_t form = {
     .headers = {[NOTICE_LIMIT] = "Limit",
@@ -94,7 +94,7 @@
     ck_assert_int_eq(read_rest(503, "0.25").for_ms, 250);
     ck_assert_int_eq(read_rest(503, "0").kind, REST_ASKED);
     ck_assert_int_eq(read_rest(503, "99999999999999999999").for_ms,
-                     UPSTREAM_REST_MOST_MS);
+                     UPSTREAM_BACKOFF_MAX_MS);
     ck_assert_int_eq(read_rest(200, "3").kind, REST_ABSENT);
     ck_assert_int_eq(read_rest(429, "3").kind, REST_ABSENT);
     ck_assert_int_eq(read_rest(500, "3").kind, REST_ABSENT);
