--- a/src/Answer.c
+++ b/src/Answer.c
@@ -32,7 +32,7 @@
     GString *out; /* events not yet handed to evhttp, or the whole body */
     struct evbuffer *chunk;
     gsize buffer_max;
-    TurnEnd_t *turn_end;
+    DeferredCalls_t *deferred_calls;
     gint64 created_s;
     gboolean started;
     gboolean full;
@@ -119,7 +119,7 @@
 schedule_flush(Answer_t *this, gsize length_before)
 {
     if (length_before == 0) {
-        TurnEnd_add(this->turn_end, on_iteration_end, this);
+        DeferredCalls_add(this->deferred_calls, on_iteration_end, this);
     }
     update_full(this);
 }
@@ -262,7 +262,7 @@
     this->out = g_string_sized_new(512);
     this->chunk = evbuffer_new();
     this->buffer_max = spec->buffer_max;
-    this->turn_end = spec->turn_end;
+    this->deferred_calls = spec->deferred_calls;
     this->created_s = Clock_wallMs() / 1000;
     this->watch =
         CallerWatch_create(base, spec->request, on_caller_left, this);
@@ -273,7 +273,7 @@
 Answer_destroy(Answer_t *this)
 {
     CallerWatch_destroy(this->watch);
-    TurnEnd_remove(this->turn_end, this);
+    DeferredCalls_remove(this->deferred_calls, this);
     g_string_free(this->id, TRUE);
     g_string_free(this->model_json, TRUE);
     g_string_free(this->resume_token, TRUE);
--- a/src/Answer.h
+++ b/src/Answer.h
@@ -12,8 +12,8 @@
 #include <event2/http.h>
 #include <glib.h>
 
+#include "DeferredCalls.h"
 #include "Refusal.h"
-#include "TurnEnd.h"
 
 /**
  * struct AnswerEvents_t - callbacks to the owner of an answer
@@ -33,8 +33,8 @@
  * @id: the request's id
  * @model: name of the model as the caller wrote it
  * @buffer_max: bytes of unsent output above which Answer_isFull() is TRUE
- * @turn_end: tokens received in one loop iteration are written together at
- *     its end
+ * @deferred_calls: tokens received in one loop iteration are written together
+ *     at its end
  */
 typedef struct {
     struct evhttp_request *request;
@@ -43,7 +43,7 @@
     const char *id;
     const char *model;
     gsize buffer_max;
-    TurnEnd_t *turn_end;
+    DeferredCalls_t *deferred_calls;
 } AnswerSpec_t;
 
 /** struct Answer_t - opaque */
--- a/src/Context.h
+++ b/src/Context.h
@@ -16,6 +16,7 @@
 #include "Counters.h"
 #include "CrashGuard.h"
 #include "CustomerLimits.h"
+#include "DeferredCalls.h"
 #include "Dispatch.h"
 #include "EstimateError.h"
 #include "Membership.h"
@@ -31,7 +32,6 @@
 #include "Settings.h"
 #include "StreamMover.h"
 #include "Trace.h"
-#include "TurnEnd.h"
 #include "UpstreamLimits.h"
 #include "UpstreamListing.h"
 #include "UpstreamNotices.h"
@@ -72,7 +72,7 @@
  * @budget: of retries
  * @crashes: which requests must not be sent
  * @traces: of recent requests
- * @turn_end: what is done at the end of a turn of the loop
+ * @deferred_calls: what is done at the end of a turn of the loop
  * @stopping: SIGTERM came; new requests are refused after the grace
  * @refusing: the grace is over
  * @open_requests: callers' requests under way
@@ -109,7 +109,7 @@
     RetryBudget_t *budget;
     CrashGuard_t *crashes;
     Traces_t *traces;
-    TurnEnd_t *turn_end;
+    DeferredCalls_t *deferred_calls;
     gboolean stopping;
     gboolean refusing;
     guint open_requests;
--- a/src/TurnEnd.c
+++ b/src/DeferredCalls.c
@@ -1,22 +1,22 @@
-#include "TurnEnd.h"
+#include "DeferredCalls.h"
 
 typedef struct {
-    TurnEndCall_t call;
+    DeferredCall_t call;
     void *data;
 } Entry_t;
 
-struct TurnEnd {
+struct DeferredCalls {
     struct event *event;
     GArray *entries;
 };
 
-/* Entries that are added meanwhile are called in this run as well. */
+/* Calls that are added during the run are made in the same run. */
 static void
-on_end(evutil_socket_t fd, short what, void *data)
+run_entries(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
-    TurnEnd_t *this = data;
+    DeferredCalls_t *this = data;
     for (guint i = 0; i < this->entries->len; i++) {
         Entry_t entry = g_array_index(this->entries, Entry_t, i);
         if (entry.call) {
@@ -26,17 +26,17 @@
     g_array_set_size(this->entries, 0);
 }
 
-TurnEnd_t *
-TurnEnd_create(struct event_base *base)
+DeferredCalls_t *
+DeferredCalls_create(struct event_base *base)
 {
-    TurnEnd_t *this = g_new0(TurnEnd_t, 1);
-    this->event = event_new(base, -1, 0, on_end, this);
+    DeferredCalls_t *this = g_new0(DeferredCalls_t, 1);
+    this->event = event_new(base, -1, 0, run_entries, this);
     this->entries = g_array_new(FALSE, FALSE, sizeof(Entry_t));
     return this;
 }
 
 void
-TurnEnd_destroy(TurnEnd_t *this)
+DeferredCalls_destroy(DeferredCalls_t *this)
 {
     event_free(this->event);
     g_array_unref(this->entries);
@@ -44,7 +44,7 @@
 }
 
 void
-TurnEnd_add(TurnEnd_t *this, TurnEndCall_t call, void *data)
+DeferredCalls_add(DeferredCalls_t *this, DeferredCall_t call, void *data)
 {
     Entry_t entry = {call, data};
     if (this->entries->len == 0) {
@@ -54,7 +54,7 @@
 }
 
 void
-TurnEnd_remove(TurnEnd_t *this, const void *data)
+DeferredCalls_remove(DeferredCalls_t *this, const void *data)
 {
     for (guint i = 0; i < this->entries->len; i++) {
         Entry_t *entry = &g_array_index(this->entries, Entry_t, i);
--- a/src/KeyedLog.c
+++ b/src/KeyedLog.c
@@ -15,8 +15,8 @@
     GString *topic;
     GHashTable *newest; /* of a list: key -> KeyedRecord_t; else NULL */
     StorePosition_t from;
-    KeyedDone_t done;
-    KeyedPut_t put;
+    KeyedPageDone_t done;
+    KeyedPutDone_t put;
     void *data;
 } Call_t;
 
@@ -87,7 +87,7 @@
 
 static void
 read_from(RecordSource_t *super, const char *topic, guint64 from,
-          gint64 wait_ms, KeyedDone_t done, void *data)
+          gint64 wait_ms, KeyedPageDone_t done, void *data)
 {
     KeyedLog_t *this = (KeyedLog_t *)super;
     Call_t *call = make_call(this, topic, data);
@@ -176,7 +176,7 @@
 /* All of it is one page. */
 static void
 list(RecordSource_t *super, const char *topic, const char *after,
-     KeyedDone_t done, void *data)
+     KeyedPageDone_t done, void *data)
 {
     (void)after;
     KeyedLog_t *this = (KeyedLog_t *)super;
@@ -198,7 +198,7 @@
 
 static void
 put_record(RecordSource_t *super, const char *topic, const char *key,
-           GBytes *value, KeyedPut_t done, void *data)
+           GBytes *value, KeyedPutDone_t done, void *data)
 {
     KeyedLog_t *this = (KeyedLog_t *)super;
     Call_t *call = make_call(this, topic, data);
--- a/src/ListCopy.c
+++ b/src/ListCopy.c
@@ -2,16 +2,17 @@
 
 #include <string.h>
 
-/* Changes that are kept beside two for each key: all upstreams may come at
- * once. Who asks for older ones begins anew. */
-#define CHANGES_LEAST 4096
+/* The log of changes holds CHANGES_MIN entries and CHANGES_PER_KEY for each
+ * key, as all upstreams may be added at once. A reader that needs older
+ * changes restarts its list. */
+#define CHANGES_MIN 4096
 #define CHANGES_PER_KEY 2
 
 struct ListCopy {
-    GTree *newest;         /* key -> KeyedRecord_t */
-    GQueue *changes;       /* KeyedRecord_t, the oldest first */
-    StorePosition_t start; /* changes are known from here on */
-    gboolean begun;
+    GTree *newest;                 /* key -> KeyedRecord_t */
+    GQueue *changes;               /* KeyedRecord_t, oldest first */
+    StorePosition_t changes_start; /* @changes has all changes from here */
+    gboolean changes_started;
 };
 
 static gint
@@ -53,53 +54,56 @@
         g_tree_remove(this->newest, record->key->str);
         return;
     }
-    KeyedRecord_t *kept = copy_record(record);
-    g_tree_replace(this->newest, kept->key->str, kept);
+    KeyedRecord_t *stored = copy_record(record);
+    g_tree_replace(this->newest, stored->key->str, stored);
 }
 
 void
 ListCopy_noteChange(ListCopy_t *this, const KeyedRecord_t *record)
 {
-    guint most = CHANGES_LEAST + CHANGES_PER_KEY * ListCopy_count(this);
+    guint max_changes =
+        CHANGES_MIN + CHANGES_PER_KEY * ListCopy_countKeys(this);
     g_queue_push_tail(this->changes, copy_record(record));
-    if (this->changes->length > most) {
+    if (this->changes->length > max_changes) {
         KeyedRecord_t *oldest = g_queue_pop_head(this->changes);
-        this->start = StorePosition_plus(oldest->position, 1);
+        this->changes_start = StorePosition_plus(oldest->position, 1);
         KeyedRecord_free(oldest);
     }
 }
 
 void
-ListCopy_begin(ListCopy_t *this, StorePosition_t end)
+ListCopy_startChanges(ListCopy_t *this, StorePosition_t end)
 {
     g_queue_clear_full(this->changes, KeyedRecord_free);
-    this->start = end;
-    this->begun = TRUE;
+    this->changes_start = end;
+    this->changes_started = TRUE;
 }
 
 guint
-ListCopy_count(const ListCopy_t *this)
+ListCopy_countKeys(const ListCopy_t *this)
 {
     return (guint)g_tree_nnodes(this->newest);
 }
 
 static gboolean
-has_changes_since(const ListCopy_t *this, const ListPlace_t *place)
+knows_changes_since(const ListCopy_t *this, const ListCursor_t *cursor)
 {
-    return this->begun &&
-           (*place->after == '\0' ||
-            StorePosition_compare(place->from, this->start) >= 0);
+    return this->changes_started &&
+           (*cursor->after == '\0' ||
+            StorePosition_compare(cursor->from, this->changes_start) >= 0);
 }
 
-/* Changes of keys behind the place come with their pages. */
+/* Adds only changes of keys up to the cursor: the records of later keys are
+ * read from the copy itself. */
 static gsize
-add_changes(const ListCopy_t *this, const ListPlace_t *place, GPtrArray *out)
+append_changes(const ListCopy_t *this, const ListCursor_t *cursor,
+               GPtrArray *out)
 {
     gsize bytes = 0;
-    for (const GList *at = this->changes->head; at; at = at->next) {
-        const KeyedRecord_t *change = at->data;
-        if (StorePosition_compare(change->position, place->from) >= 0 &&
-            strcmp(change->key->str, place->after) <= 0) {
+    for (const GList *node = this->changes->head; node; node = node->next) {
+        const KeyedRecord_t *change = node->data;
+        if (StorePosition_compare(change->position, cursor->from) >= 0 &&
+            strcmp(change->key->str, cursor->after) <= 0) {
             g_ptr_array_add(out, copy_record(change));
             bytes += change->value ? g_bytes_get_size(change->value) : 0;
         }
@@ -108,12 +112,12 @@
 }
 
 static void
-add_next(const ListCopy_t *this, const ListPlace_t *place, gsize left,
-         ListPart_t *out)
+append_next_keys(const ListCopy_t *this, const ListCursor_t *cursor,
+                 gsize max_bytes, ListPage_t *out)
 {
-    GTreeNode *node = g_tree_upper_bound(this->newest, place->after);
+    GTreeNode *node = g_tree_upper_bound(this->newest, cursor->after);
     gsize bytes = 0;
-    while (node && bytes <= left) {
+    while (node && bytes <= max_bytes) {
         const KeyedRecord_t *record = g_tree_node_value(node);
         g_ptr_array_add(out->page.records, copy_record(record));
         bytes += record->key->len + g_bytes_get_size(record->value);
@@ -124,35 +128,37 @@
 }
 
 gboolean
-ListCopy_read(const ListCopy_t *this, const ListPlace_t *place, gsize most,
-              ListPart_t *out)
+ListCopy_readPage(const ListCopy_t *this, const ListCursor_t *cursor,
+                  gsize max_bytes, ListPage_t *out)
 {
-    if (!has_changes_since(this, place)) {
+    if (!knows_changes_since(this, cursor)) {
         return FALSE;
     }
     out->page.records = g_ptr_array_new_with_free_func(KeyedRecord_free);
-    out->reached = place->after;
-    gsize changed = *place->after == '\0'
-                        ? 0
-                        : add_changes(this, place, out->page.records);
-    add_next(this, place, most - MIN(changed, most), out);
+    out->reached = cursor->after;
+    gsize change_bytes = *cursor->after == '\0'
+                             ? 0
+                             : append_changes(this, cursor, out->page.records);
+    append_next_keys(this, cursor, max_bytes - MIN(change_bytes, max_bytes),
+                     out);
     return TRUE;
 }
 
 gboolean
-ListCopy_since(const ListCopy_t *this, StorePosition_t from, gsize most,
-               GPtrArray *out, StorePosition_t *end)
+ListCopy_readChanges(const ListCopy_t *this, StorePosition_t from,
+                     gsize max_bytes, GPtrArray *out, StorePosition_t *end)
 {
     gsize bytes = 0;
-    if (!this->begun || StorePosition_compare(from, this->start) < 0) {
+    if (!this->changes_started ||
+        StorePosition_compare(from, this->changes_start) < 0) {
         return FALSE;
     }
-    for (GList *at = this->changes->head; at; at = at->next) {
-        KeyedRecord_t *change = at->data;
+    for (GList *node = this->changes->head; node; node = node->next) {
+        KeyedRecord_t *change = node->data;
         if (StorePosition_compare(change->position, from) < 0) {
             continue;
         }
-        if (bytes > most) {
+        if (bytes > max_bytes) {
             *end = change->position;
             return TRUE;
         }
--- a/src/ListExchange.h
+++ b/src/ListExchange.h
@@ -3,13 +3,14 @@
 /**
  * DOC: ListExchange
  *
- * Routers hand a long list on to each other. Where it has more than one page,
- * few routers of each hall read it from the store, one after the other, and
- * only while peers bring nothing; the others ask those that have it, page by
- * page, and go on at another peer where one falls silent. What the store
- * serves for a start does not grow with the routers but for the first page,
- * and the time grows with the logarithm of their number, as each that has the
- * list hands it on to a few.
+ * Routers pass a long list on to each other. If the list has more than one
+ * page, a few routers of each hall read it from the store, one after the
+ * other, and only while their peers send nothing. The other routers query
+ * peers that have the list, page by page, and continue at another peer if one
+ * stops answering. Apart from the first page, the load of a start on the store
+ * does not grow with the number of routers. The time until all have the list
+ * grows with the logarithm of their number, as each router that has it serves
+ * a few others.
  */
 #include "ListCopy.h"
 #include "Membership.h"
@@ -17,11 +18,11 @@
 #include "StoreEpoch.h"
 
 /**
- * struct ListExchangeSpec_t - what it needs; all must outlive it
- * @topic: of the list
- * @membership: whose links are used
- * @epoch: of the store
- * @counters: for pages
+ * struct ListExchangeSpec_t - dependencies; all must outlive the exchange
+ * @topic: topic of the list
+ * @membership: peers and the links to them
+ * @epoch: epoch of the store
+ * @counters: counts pages by result; may be NULL
  */
 typedef struct {
     const char *topic;
@@ -34,57 +35,62 @@
 typedef struct ListExchange ListExchange_t;
 
 /**
- * ListExchange_create() - asks nothing yet
- * @copy: handed on; must outlive it
+ * ListExchange_create() - create an exchange that sends no queries yet
+ * @copy: the list that is served to peers; must outlive the exchange
  */
 ListExchange_t *ListExchange_create(struct event_base *base,
                                     const ListExchangeSpec_t *spec,
                                     const ListCopy_t *copy);
 
-/** ListExchange_destroy() - free it */
+/** ListExchange_destroy() - free the exchange */
 void ListExchange_destroy(ListExchange_t *this);
 
-/** ListExchange_follow() - whose list is fed; called once */
-void ListExchange_follow(ListExchange_t *this, RecordFollower_t *follower);
+/** ListExchange_setFollower() - set the follower that receives the pages of
+ * peers, and start queries; called once */
+void ListExchange_setFollower(ListExchange_t *this,
+                              RecordFollower_t *follower);
 
-/** ListExchange_setCurrent() - the copy is whole up to @end, which was that of
- * the topic at @at_ms (monotonic) */
+/** ListExchange_setCurrent() - the copy is complete up to @end, which was the
+ * end of the topic at @at_ms (monotonic) */
 void ListExchange_setCurrent(ListExchange_t *this, StorePosition_t end,
                              gint64 at_ms);
 
 /**
- * ListExchange_waitMs() - how long this router leaves the rest of a list to
- * its peers
+ * ListExchange_msUntilStoreRead() - how long this router leaves the remainder
+ * of a list to its peers
  *
- * Return: 0 where it is its turn to read it from the store
+ * Return: milliseconds; 0 if this router is to read from the store now
  */
-gint64 ListExchange_waitMs(ListExchange_t *this);
+gint64 ListExchange_msUntilStoreRead(ListExchange_t *this);
 
-/** ListExchange_seek() - ask peers while the follower wants a list */
-void ListExchange_seek(ListExchange_t *this);
+/** ListExchange_startQueries() - query peers for as long as the follower needs
+ * a list */
+void ListExchange_startQueries(ListExchange_t *this);
 
 /**
- * ListExchange_mayAsk() - whether this router may ask a peer, which may stand
- * in another hall, for a part of the list
- * @waited_ms: how long it was not told what it lacks
+ * ListExchange_mayQuery() - whether this router may query a peer, possibly of
+ * another hall, for a part of the list
+ * @waited_ms: time since this router last received what it lacks
  */
-gboolean ListExchange_mayAsk(const ListExchange_t *this, const Member_t *peer,
-                             gint64 waited_ms);
+gboolean ListExchange_mayQuery(const ListExchange_t *this,
+                               const Member_t *peer, gint64 waited_ms);
 
 /**
- * ListExchange_mayServe() - whether a peer may be told a part of the list now
+ * ListExchange_mayServe() - whether a part of the list may be sent to a peer
+ * now
  *
- * Few are at a time, so that callers' answers have their share of the link;
- * who was, may go on.
+ * The number of peers served at the same time is limited, so that answers to
+ * callers get their share of the link. A peer that is being served may go on.
  */
 gboolean ListExchange_mayServe(ListExchange_t *this, const Member_t *peer);
 
-/** ListExchange_answer() - a peer asks for a page */
-void ListExchange_answer(ListExchange_t *this, Member_t *from,
-                         const Wt__ListAsk *ask);
+/** ListExchange_answerQuery() - send a page, or a refusal, to a peer that
+ * queries */
+void ListExchange_answerQuery(ListExchange_t *this, Member_t *from,
+                              const Wt__ListAsk *query);
 
-/** ListExchange_take() - a peer's page, or its refusal */
-void ListExchange_take(ListExchange_t *this, Member_t *from,
-                       const Wt__ListPage *page);
+/** ListExchange_receivePage() - handle a page, or a refusal, of a peer */
+void ListExchange_receivePage(ListExchange_t *this, Member_t *from,
+                              const Wt__ListPage *page);
 
 #endif
--- a/src/RecordFollower.c
+++ b/src/RecordFollower.c
@@ -7,28 +7,30 @@
 #include "Log.h"
 #include "Random.h"
 
-/* First pause after a failure, doubled with each further one up to the most:
- * a herd of routers that starts at once must not outrun the store's rate. */
+/* Mean pause after the first failure, doubled with each further failure up to
+ * a maximum: routers that all start at once must not exceed the rate of the
+ * store. */
 #define FIRST_RETRY_MS 100
-#define RETRY_MOST_MS 800
-/* Who may pause for longer begins with longer pauses: of the longest one, and
- * not below the first. */
-#define RETRY_PARTS 8
-/* Enough for any longest pause, and few enough to shift by. */
-#define RETRY_DOUBLINGS_MOST 20
-/* Refusals in a row of the first page of a list after which routers take
- * turns.
- */
-#define FREE_RETRIES 3
-/* A page of a list that takes longer comes from a store that has too much to
- * do: peers are asked beside it. */
-#define LATE_MS 300
-/* The same end of a topic, told by several peers, has ages that differ by the
- * ways that it came: only one that is newer by so much is passed on. */
-#define NEWS_LEAST_MS 200
-
-/* Its answer counts only while it is the one that is waited for: what was
- * asked before the store came back older says nothing of what is there now. */
+#define RETRY_MAX_MS 800
+/* A follower with a longer maximum begins with longer pauses: this part of the
+ * maximum, but no less than FIRST_RETRY_MS. */
+#define RETRY_MIN_DIVISOR 8
+/* Reaches any maximum without overflow of the shifted pause. */
+#define RETRY_DOUBLINGS_MAX 20
+/* Consecutive refusals of the first page of a list after which routers retry
+ * in turn instead of independently. */
+#define UNSCHEDULED_RETRIES 3
+/* If a page of a list takes longer, the store is overloaded, and peers are
+ * queried in parallel. */
+#define PAGE_LATE_MS 300
+/* The ages of one end of a topic differ between the peers that send it, as the
+ * paths to them differ. An unchanged end is reported again only if it is newer
+ * by at least this. */
+#define END_ADVANCE_MIN_MS 200
+
+/* The answer to a call is used only while the call is the current one or the
+ * open check: a call that was sent before the store was restored from an older
+ * copy says nothing about the present records. */
 typedef struct {
     RecordFollower_t *owner;
     gint64 sent_ms;
@@ -40,25 +42,25 @@
     const RecordFollowerEvents_t *events;
     void *owner;
     struct event *timer;
-    GHashTable *positions; /* key -> StorePosition_t *, of its newest record */
-    GHashTable *listed;    /* set of keys seen in the list under way */
-    GString *after;        /* last key of the page before */
-    StorePosition_t next;  /* to read from */
+    GHashTable *positions; /* key -> StorePosition_t * of its newest record */
+    GHashTable *listed;    /* set of keys in the current list */
+    GString *after;        /* last key of the previous page */
+    StorePosition_t next;  /* position to read from */
     gboolean listing;
     gboolean first_page;
-    gboolean from_peers; /* what is listed up to @after came from peers */
-    gint64 retry_most_ms;
-    GHashTable *calls;             /* set of FollowerCall_t that are open */
-    const FollowerCall_t *calling; /* the one that counts, or NULL */
-    const FollowerCall_t *asking;  /* a question beside it, or NULL */
-    guint unanswered;              /* questions in a row that failed */
-    gint64 current_ms;  /* when the end was last known, 0 for never */
-    guint failures;     /* in a row */
-    gint64 failed_ms;   /* when the last of them was */
-    gboolean timed_out; /* one of them was an answer that came too late */
+    gboolean from_peers; /* the list up to @after came from peers */
+    gint64 retry_max_ms;
+    GHashTable *calls;                  /* set of open FollowerCall_t */
+    const FollowerCall_t *current_call; /* its answer is used */
+    const FollowerCall_t *check_call;   /* check of the end */
+    guint failed_checks;                /* consecutive failed checks */
+    gint64 current_ms;  /* when the end was last known; 0 for never */
+    guint failures;     /* consecutive failed calls */
+    gint64 failed_ms;   /* time of the last failure */
+    gboolean timed_out; /* one of these failures was a timeout */
 };
 
-static void call(RecordFollower_t *this);
+static void call_store(RecordFollower_t *this);
 
 static void
 begin_list(RecordFollower_t *this)
@@ -78,9 +80,9 @@
     return !known || StorePosition_compare(record->position, *known) > 0;
 }
 
-/* The same record comes more than once as a matter of course. */
+/* Does not log a record that was received again, as this is normal. */
 static void
-log_passed_over(const RecordFollower_t *this, const KeyedRecord_t *record)
+log_older_record(const RecordFollower_t *this, const KeyedRecord_t *record)
 {
     const StorePosition_t *known =
         g_hash_table_lookup(this->positions, record->key->str);
@@ -98,10 +100,10 @@
 }
 
 static void
-take_record(RecordFollower_t *this, const KeyedRecord_t *record)
+apply_record(RecordFollower_t *this, const KeyedRecord_t *record)
 {
     if (!is_newer(this, record)) {
-        log_passed_over(this, record);
+        log_older_record(this, record);
         return;
     }
     const char *key = record->key->str;
@@ -116,10 +118,11 @@
     this->events->record(this->owner, record);
 }
 
-/* A removal that fell into the gap was never read; it is told as if it were
- * the next record, so that peers take it for newer than what they know. */
+/* The record that removed such a key expired before it was read. The removal
+ * is reported at the position of the next record, so that peers consider it
+ * newer than the record that they know. */
 static void
-tell_removed(RecordFollower_t *this)
+report_removed_keys(RecordFollower_t *this)
 {
     GHashTableIter iter;
     gpointer key = NULL;
@@ -135,7 +138,7 @@
 }
 
 static void
-take_list(RecordFollower_t *this, const KeyedPage_t *page)
+apply_list_page(RecordFollower_t *this, const KeyedPage_t *page)
 {
     if (this->first_page) {
         this->next = page->end;
@@ -145,15 +148,15 @@
         const KeyedRecord_t *record = g_ptr_array_index(page->records, i);
         g_hash_table_add(this->listed, g_strdup(record->key->str));
         g_string_assign(this->after, record->key->str);
-        take_record(this, record);
+        apply_record(this, record);
     }
     if (!page->more) {
         this->listing = FALSE;
-        tell_removed(this);
+        report_removed_keys(this);
     }
 }
 
-/* An answer may come after a peer has told of a later time. */
+/* An answer may arrive after a peer has sent a later time. */
 static void
 note_current(RecordFollower_t *this, gint64 at_ms)
 {
@@ -169,17 +172,17 @@
     return MAX(this->current_ms + this->spec.pause_ms - Clock_nowMs(), 0);
 }
 
-/* Records before the next one were told by another answer or by a peer
- * meanwhile. Offsets of a topic have no gaps, so the last one tells where to
- * go on. */
+/* Skips records before the next position, which another answer or a peer has
+ * delivered meanwhile. Offsets of a topic have no gaps, so the next position
+ * follows from the last record. */
 static void
-take_tail(RecordFollower_t *this, const KeyedPage_t *page)
+apply_tail(RecordFollower_t *this, const KeyedPage_t *page)
 {
     for (guint i = 0; i < page->records->len; i++) {
         const KeyedRecord_t *record = g_ptr_array_index(page->records, i);
         if (StorePosition_compare(record->position, this->next) >= 0) {
             this->next = StorePosition_plus(record->position, 1);
-            take_record(this, record);
+            apply_record(this, record);
         }
     }
 }
@@ -196,21 +199,21 @@
 }
 
 static void
-note_good(RecordFollower_t *this)
+note_success(RecordFollower_t *this)
 {
     if (this->failures > 0) {
         end_failures(this, "answer");
-        if (this->events->regained) {
-            this->events->regained(this->owner);
+        if (this->events->restored) {
+            this->events->restored(this->owner);
         }
     }
 }
 
-/* A peer has read the topic after this router failed to: for the records it
- * is not lost any more, and what is removed there is gone. The peer tells of
- * an outage of its own by itself. */
+/* If a peer has read the topic after this router failed to, the outage is over
+ * as far as records are concerned, and removals that the peer sends are not
+ * attributed to the outage. The peer reports its own outages itself. */
 static void
-note_fed(RecordFollower_t *this, gint64 at_ms)
+note_peer_records(RecordFollower_t *this, gint64 at_ms)
 {
     if (this->failures > 0 && at_ms > this->failed_ms) {
         end_failures(this, "peer");
@@ -233,43 +236,46 @@
             this->events->lost(this->owner, error);
         }
     }
-    guint doublings = MIN(this->failures - 1, RETRY_DOUBLINGS_MOST);
-    gint64 least = this->retry_most_ms / RETRY_PARTS;
-    gint64 most =
-        CLAMP(FIRST_RETRY_MS << doublings, least, this->retry_most_ms);
-    gint64 pause_ms = most / 2 + Random_below((guint32)most);
-    /* What peers have told is as good as an answer. */
+    guint doublings = MIN(this->failures - 1, RETRY_DOUBLINGS_MAX);
+    gint64 min_ms = this->retry_max_ms / RETRY_MIN_DIVISOR;
+    gint64 mean_ms =
+        CLAMP(FIRST_RETRY_MS << doublings, min_ms, this->retry_max_ms);
+    gint64 pause_ms = mean_ms / 2 + Random_below((guint32)mean_ms);
+    /* Records from peers postpone the next call like an answer does. */
     Clock_arm(this->timer, MAX(pause_ms, pause_left_ms(this)));
 }
 
-/* A refusal costs the store next to nothing and may be over at once; an answer
- * that came too late has cost all of it, and shows that there is a queue. */
+/* A refusal costs the store next to nothing, and the next call may succeed. A
+ * call that timed out costs the store as much as one that was answered, and
+ * shows that calls are queued. */
 static gboolean
-may_try_again(const RecordFollower_t *this)
+may_retry_unscheduled(const RecordFollower_t *this)
 {
-    return !this->timed_out && this->failures <= FREE_RETRIES;
+    return !this->timed_out && this->failures <= UNSCHEDULED_RETRIES;
 }
 
-/* A list of one page is read by all: it takes a call. */
+/* All routers read the first page of a list from the store at once, as a list
+ * of one page takes a single call. */
 static gint64
-wait_ms(const RecordFollower_t *this)
+store_delay_ms(const RecordFollower_t *this)
 {
-    gboolean begun = !this->first_page || this->from_peers;
-    gboolean first = this->listing && !begun && may_try_again(this);
-    if (first || !this->events->wait_ms) {
+    gboolean list_begun = !this->first_page || this->from_peers;
+    gboolean reads_first_page =
+        this->listing && !list_begun && may_retry_unscheduled(this);
+    if (reads_first_page || !this->events->wait_ms) {
         return 0;
     }
-    return this->events->wait_ms(this->owner, this->listing && begun);
+    return this->events->wait_ms(this->owner, this->listing && list_begun);
 }
 
 static void
-go_on(RecordFollower_t *this, gboolean at_end)
+schedule_next_call(RecordFollower_t *this, gboolean at_end)
 {
     Clock_arm(this->timer, at_end ? pause_left_ms(this) : 0);
 }
 
 static void
-list_anew(RecordFollower_t *this)
+restart_list(RecordFollower_t *this)
 {
     Log_begin(LOG_LEVEL_WARNING, "topic_listed_anew");
     Log_text("topic", this->topic->str);
@@ -277,7 +283,7 @@
     Log_number("next", (gint64)this->next.offset);
     Log_end();
     begin_list(this);
-    call(this);
+    call_store(this);
 }
 
 static gboolean
@@ -287,57 +293,57 @@
 }
 
 static void
-take_page(RecordFollower_t *this, const KeyedPage_t *page, gint64 sent_ms)
+apply_page(RecordFollower_t *this, const KeyedPage_t *page, gint64 sent_ms)
 {
     if (this->listing) {
-        take_list(this, page);
+        apply_list_page(this, page);
     }
     else {
-        take_tail(this, page);
+        apply_tail(this, page);
     }
     gboolean at_end = is_at_end(this, page);
     if (at_end) {
         note_current(this, sent_ms);
     }
-    go_on(this, at_end);
+    schedule_next_call(this, at_end);
 }
 
 static FollowerCall_t *
 open_call(RecordFollower_t *this)
 {
-    FollowerCall_t *opened = g_new0(FollowerCall_t, 1);
-    opened->owner = this;
-    opened->sent_ms = Clock_nowMs();
-    g_hash_table_add(this->calls, opened);
-    return opened;
+    FollowerCall_t *call = g_new0(FollowerCall_t, 1);
+    call->owner = this;
+    call->sent_ms = Clock_nowMs();
+    g_hash_table_add(this->calls, call);
+    return call;
 }
 
 static void
 on_page(const KeyedPage_t *page, const GError *error, void *data)
 {
-    const FollowerCall_t *ended = data;
-    RecordFollower_t *this = ended->owner;
-    gint64 sent_ms = ended->sent_ms;
-    gboolean counts = ended == this->calling;
-    g_hash_table_remove(this->calls, ended);
-    if (!counts) {
+    const FollowerCall_t *call = data;
+    RecordFollower_t *this = call->owner;
+    gint64 sent_ms = call->sent_ms;
+    gboolean is_expected = call == this->current_call;
+    g_hash_table_remove(this->calls, call);
+    if (!is_expected) {
         return;
     }
-    this->calling = NULL;
+    this->current_call = NULL;
     if (g_error_matches(error, WT_ERROR, WT_ERROR_TRUNCATED)) {
-        list_anew(this);
+        restart_list(this);
         return;
     }
     if (!page) {
         note_failed(this, error);
         return;
     }
-    note_good(this);
-    take_page(this, page, sent_ms);
+    note_success(this);
+    apply_page(this, page, sent_ms);
 }
 
 static StoreCause_t
-cause_of(const RecordFollower_t *this)
+call_cause(const RecordFollower_t *this)
 {
     if (this->failures > 0) {
         return STORE_RETRY;
@@ -349,27 +355,27 @@
 }
 
 static void
-call(RecordFollower_t *this)
+call_store(RecordFollower_t *this)
 {
     if (this->listing && this->from_peers) {
-        begin_list(this); /* the store may have another order of keys */
+        begin_list(this); /* the order of keys may differ in the store */
     }
-    StoreCalls_note(this->spec.counters, this->topic->str, cause_of(this));
-    FollowerCall_t *opened = open_call(this);
-    this->calling = opened;
+    StoreCalls_note(this->spec.counters, this->topic->str, call_cause(this));
+    FollowerCall_t *call = open_call(this);
+    this->current_call = call;
     if (this->listing) {
         const char *after = this->after->len > 0 ? this->after->str : NULL;
         RecordSource_list(this->spec.source, this->topic->str, after, on_page,
-                          opened);
+                          call);
         return;
     }
-    /* After a failure the answer must come at once, to tell of the return, and
-     * where the end was not known for long, as others wait for it. */
-    gint64 age_ms = opened->sent_ms - this->current_ms;
-    gboolean now = this->failures > 0 || age_ms > 2 * this->spec.wait_ms;
-    gint64 wait_ms = now ? 0 : this->spec.wait_ms;
+    /* After a failure the store must answer at once, to show that it is back;
+     * also if the end has not been known for long, as peers wait for it. */
+    gint64 age_ms = call->sent_ms - this->current_ms;
+    gboolean at_once = this->failures > 0 || age_ms > 2 * this->spec.wait_ms;
+    gint64 wait_ms = at_once ? 0 : this->spec.wait_ms;
     RecordSource_read(this->spec.source, this->topic->str, this->next.offset,
-                      wait_ms, on_page, opened);
+                      wait_ms, on_page, call);
 }
 
 static void
@@ -378,12 +384,12 @@
     (void)fd;
     (void)what;
     RecordFollower_t *this = data;
-    gint64 left_ms = wait_ms(this);
+    gint64 left_ms = store_delay_ms(this);
     if (left_ms > 0) {
         Clock_arm(this->timer, left_ms);
         return;
     }
-    call(this);
+    call_store(this);
 }
 
 RecordFollower_t *
@@ -404,7 +410,7 @@
     this->listed =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     this->after = g_string_new(NULL);
-    this->retry_most_ms = RETRY_MOST_MS;
+    this->retry_max_ms = RETRY_MAX_MS;
     begin_list(this);
     Clock_arm(this->timer, 0);
     return this;
@@ -422,101 +428,107 @@
     g_free(this);
 }
 
-/* Its own next read may be a long pause away, and no peer can tell what has
- * expired: without this every router answered from old state, and then from
- * none, until its own pause was over. A call under way learns it by itself. */
+/* The next read of this router may be a long pause away, and no peer can send
+ * records that have expired. Without a new list every router used old state,
+ * and then none, until its own pause was over. A call that is open will report
+ * the expiry itself. */
 static void
-note_expired(RecordFollower_t *this)
+relist_expired(RecordFollower_t *this)
 {
-    if (this->listing || this->calling) {
+    if (this->listing || this->current_call) {
         return;
     }
     evtimer_del(this->timer);
-    list_anew(this);
+    restart_list(this);
 }
 
 static void
-on_asked(const KeyedPage_t *page, const GError *error, void *data)
-{
-    const FollowerCall_t *ended = data;
-    RecordFollower_t *this = ended->owner;
-    gint64 sent_ms = ended->sent_ms;
-    gboolean counts = ended == this->asking;
-    g_hash_table_remove(this->calls, ended);
-    if (!counts) {
+on_check_answer(const KeyedPage_t *page, const GError *error, void *data)
+{
+    const FollowerCall_t *call = data;
+    RecordFollower_t *this = call->owner;
+    gint64 sent_ms = call->sent_ms;
+    gboolean is_expected = call == this->check_call;
+    g_hash_table_remove(this->calls, call);
+    if (!is_expected) {
         return;
     }
-    this->asking = NULL;
+    this->check_call = NULL;
     if (g_error_matches(error, WT_ERROR, WT_ERROR_TRUNCATED)) {
-        note_expired(this);
+        relist_expired(this);
         return;
     }
-    this->unanswered = page ? 0 : this->unanswered + 1;
+    this->failed_checks = page ? 0 : this->failed_checks + 1;
     if (!page || this->listing) {
         return;
     }
-    take_tail(this, page);
+    apply_tail(this, page);
     if (is_at_end(this, page)) {
         note_current(this, sent_ms);
     }
 }
 
-/* Records are missing before what a peer tells. Its own pause may be as long
- * as the time in which an upstream that leaves must get no new work. */
+/* Reads from the store at once if records are missing before those of a peer
+ * and the owner does not fetch them. The pause of this router may be as long
+ * as the time after which an upstream that leaves must get no new requests. */
 static void
-read_gap(RecordFollower_t *this, guint64 from)
+fill_gap(RecordFollower_t *this, guint64 from)
 {
     if (from <= this->next.offset ||
         (this->events->gap && this->events->gap(this->owner))) {
         return;
     }
-    if (!this->calling && this->failures == 0) {
+    if (!this->current_call && this->failures == 0) {
         Clock_arm(this->timer, 0);
     }
 }
 
 gboolean
-RecordFollower_feed(RecordFollower_t *this, guint64 from,
-                    const KeyedPage_t *page, gint64 at_ms)
+RecordFollower_applyPeerRecords(RecordFollower_t *this, guint64 from,
+                                const KeyedPage_t *page, gint64 at_ms)
 {
-    gint ahead = StorePosition_compare(page->end, this->next);
-    if (this->listing || page->end.epoch != this->next.epoch || ahead < 0 ||
-        (ahead == 0 && at_ms < this->current_ms + NEWS_LEAST_MS)) {
+    gint end_order = StorePosition_compare(page->end, this->next);
+    if (this->listing || page->end.epoch != this->next.epoch ||
+        end_order < 0 ||
+        (end_order == 0 && at_ms < this->current_ms + END_ADVANCE_MIN_MS)) {
         return FALSE;
     }
     if (from > this->next.offset) {
-        read_gap(this, from);
+        fill_gap(this, from);
         return FALSE;
     }
-    note_fed(this, at_ms);
-    take_tail(this, page);
+    note_peer_records(this, at_ms);
+    apply_tail(this, page);
     this->next = page->end;
-    /* An age grows on its way, so that records that are new here may seem
-     * older than an end that was known before them. */
+    /* Ages grow in transit, so new records may seem older than an end that was
+     * known before them. */
     note_current(this, MAX(at_ms, this->current_ms));
-    if (!this->calling) {
+    if (!this->current_call) {
         gint64 left_ms = pause_left_ms(this);
-        gboolean helped = at_ms == 0 && this->events->gap;
-        Clock_arm(this->timer, helped ? this->spec.pause_ms : left_ms);
+        gboolean peer_has_more = at_ms == 0 && this->events->gap;
+        Clock_arm(this->timer, peer_has_more ? this->spec.pause_ms : left_ms);
     }
     return TRUE;
 }
 
 static gboolean
-is_late(const RecordFollower_t *this)
+is_call_late(const RecordFollower_t *this)
 {
-    return this->calling && Clock_nowMs() - this->calling->sent_ms >= LATE_MS;
+    return this->current_call &&
+           Clock_nowMs() - this->current_call->sent_ms >= PAGE_LATE_MS;
 }
 
 gboolean
-RecordFollower_wantsList(const RecordFollower_t *this, ListPlace_t *out)
+RecordFollower_wantsListPage(const RecordFollower_t *this, ListCursor_t *out)
 {
-    gboolean waits = !this->calling && (!this->first_page || this->from_peers);
-    gboolean left = waits || this->failures > 0 || is_late(this);
-    if (!this->listing || !left) {
+    gboolean awaits_peers =
+        !this->current_call && (!this->first_page || this->from_peers);
+    gboolean peers_may_help =
+        awaits_peers || this->failures > 0 || is_call_late(this);
+    if (!this->listing || !peers_may_help) {
         return FALSE;
     }
-    *out = (ListPlace_t){.after = ""};
+    *out = (ListCursor_t){.after = ""};
     if (this->from_peers) {
         out->after = this->after->str;
         out->from = this->next;
@@ -525,7 +537,7 @@
 }
 
 void
-RecordFollower_dropList(RecordFollower_t *this)
+RecordFollower_restartPeerList(RecordFollower_t *this)
 {
     if (this->listing && this->from_peers) {
         begin_list(this);
@@ -533,26 +545,27 @@
     }
 }
 
-/* A peer that was cut off has a list of before: it would bring back what was
- * removed since, of which nothing is known here any more. */
+/* A peer that was cut off has an outdated list, which would restore keys that
+ * were removed since and are no longer known here. */
 static gboolean
-fits_list(const RecordFollower_t *this, const ListPlace_t *place,
-          const ListPart_t *part)
+is_next_list_page(const RecordFollower_t *this, const ListCursor_t *cursor,
+                  const ListPage_t *list_page)
 {
     if (!this->listing ||
-        StorePosition_compare(part->page.end, this->next) < 0 ||
-        (part->page.more && strcmp(part->reached, place->after) <= 0)) {
+        StorePosition_compare(list_page->page.end, this->next) < 0 ||
+        (list_page->page.more &&
+         strcmp(list_page->reached, cursor->after) <= 0)) {
         return FALSE;
     }
-    if (*place->after == '\0') {
+    if (*cursor->after == '\0') {
         return !this->from_peers || this->after->len == 0;
     }
-    return this->from_peers && strcmp(place->after, this->after->str) == 0 &&
-           StorePosition_compare(place->from, this->next) == 0;
+    return this->from_peers && strcmp(cursor->after, this->after->str) == 0 &&
+           StorePosition_compare(cursor->from, this->next) == 0;
 }
 
 static void
-take_part_records(RecordFollower_t *this, const KeyedPage_t *page)
+apply_list_records(RecordFollower_t *this, const KeyedPage_t *page)
 {
     for (guint i = 0; i < page->records->len; i++) {
         const KeyedRecord_t *record = g_ptr_array_index(page->records, i);
@@ -562,93 +575,95 @@
         else {
             g_hash_table_remove(this->listed, record->key->str);
         }
-        take_record(this, record);
+        apply_record(this, record);
     }
 }
 
 static void
-end_peers_list(RecordFollower_t *this, gint64 at_ms)
+finish_peer_list(RecordFollower_t *this, gint64 at_ms)
 {
     this->listing = FALSE;
-    tell_removed(this);
+    report_removed_keys(this);
     note_current(this, MAX(at_ms, this->current_ms));
     Clock_arm(this->timer, pause_left_ms(this));
 }
 
-/* An answer of the store that is still under way belongs to a list of its
- * own. */
+/* The answer to a call to the store that is still open is ignored, as it
+ * continues the store's list and not that of the peers. */
 gboolean
-RecordFollower_feedList(RecordFollower_t *this, const ListPlace_t *place,
-                        const ListPart_t *part, gint64 at_ms)
+RecordFollower_applyPeerListPage(RecordFollower_t *this,
+                                 const ListCursor_t *cursor,
+                                 const ListPage_t *list_page, gint64 at_ms)
 {
-    if (!fits_list(this, place, part)) {
+    if (!is_next_list_page(this, cursor, list_page)) {
         return FALSE;
     }
-    this->calling = NULL;
+    this->current_call = NULL;
     if (!this->from_peers) {
         begin_list(this);
         this->from_peers = TRUE;
     }
-    note_fed(this, at_ms);
-    take_part_records(this, &part->page);
-    this->next = part->page.end;
+    note_peer_records(this, at_ms);
+    apply_list_records(this, &list_page->page);
+    this->next = list_page->page.end;
     this->first_page = FALSE;
-    if (part->page.more) {
-        g_string_assign(this->after, part->reached);
+    if (list_page->page.more) {
+        g_string_assign(this->after, list_page->reached);
         Clock_arm(this->timer, 0);
     }
     else {
-        end_peers_list(this, at_ms);
+        finish_peer_list(this, at_ms);
     }
     return TRUE;
 }
 
 void
-RecordFollower_ask(RecordFollower_t *this, StoreCause_t cause)
+RecordFollower_checkEnd(RecordFollower_t *this, StoreCause_t cause)
 {
-    if (this->asking || this->listing) {
+    if (this->check_call || this->listing) {
         return;
     }
     StoreCalls_note(this->spec.counters, this->topic->str, cause);
-    FollowerCall_t *opened = open_call(this);
-    this->asking = opened;
+    FollowerCall_t *call = open_call(this);
+    this->check_call = call;
     RecordSource_read(this->spec.source, this->topic->str, this->next.offset,
-                      0, on_asked, opened);
+                      0, on_check_answer, call);
 }
 
 guint
-RecordFollower_unanswered(const RecordFollower_t *this)
+RecordFollower_failedChecks(const RecordFollower_t *this)
 {
-    return this->unanswered;
+    return this->failed_checks;
 }
 
-/* What was read before may have been read for the other role. */
+/* Whether the follower waits for its next read without an open call.
+ * The pause may have been chosen for the previous role of this router. */
 static gboolean
-is_resting(const RecordFollower_t *this)
+is_idle(const RecordFollower_t *this)
 {
-    return !this->calling && !this->listing && this->failures == 0;
+    return !this->current_call && !this->listing && this->failures == 0;
 }
 
 void
-RecordFollower_setReads(RecordFollower_t *this, gint64 wait_ms,
-                        gint64 pause_ms, gint64 retry_most_ms)
+RecordFollower_setReadTiming(RecordFollower_t *this, gint64 wait_ms,
+                             gint64 pause_ms, gint64 retry_max_ms)
 {
-    gboolean sooner = pause_ms < this->spec.pause_ms;
+    gboolean is_shorter = pause_ms < this->spec.pause_ms;
     this->spec.wait_ms = wait_ms;
     this->spec.pause_ms = pause_ms;
-    this->retry_most_ms = retry_most_ms > 0 ? retry_most_ms : RETRY_MOST_MS;
-    if (sooner && is_resting(this)) {
+    this->retry_max_ms = retry_max_ms > 0 ? retry_max_ms : RETRY_MAX_MS;
+    if (is_shorter && is_idle(this)) {
         Clock_arm(this->timer, pause_left_ms(this));
     }
 }
 
-/* Answers to what was asked before belong to the epoch before, and a read
- * that is held may be held for long. */
+/* Open calls are dropped: their answers belong to the previous epoch, and the
+ * store may hold a read for long. */
 void
 RecordFollower_beginEpoch(RecordFollower_t *this, gint64 after_ms)
 {
-    this->calling = NULL;
-    this->asking = NULL;
+    this->current_call = NULL;
+    this->check_call = NULL;
     begin_list(this);
     Clock_arm(this->timer, after_ms);
 }
--- a/src/RecordFollower.h
+++ b/src/RecordFollower.h
@@ -3,12 +3,13 @@
 /**
  * DOC: RecordFollower
  *
- * Follows one keyed topic: it lists the newest record of each key, then
- * reads on from there. Where the records that it needs next are gone, it
- * lists anew and tells which keys are no longer there. A record older than
- * the one known of its key is never told; what a store that came back older
- * has of a key is the newest of its epoch, and told. After a failure it tries
- * again with growing, jittered pauses.
+ * Follows one keyed topic: lists the newest record of each key, then reads on
+ * from there. If the records to read next have expired in the store, the
+ * follower lists again and reports the keys that no longer exist. It never
+ * reports a record that is older than the last known one of its key. A store
+ * that was restored from an older copy starts a new epoch, and its records
+ * count as newer than those of earlier epochs. After a failure the follower
+ * retries with growing, jittered pauses.
  */
 #include <event2/event.h>
 
@@ -17,34 +18,36 @@
 #include "StoreCalls.h"
 
 /**
- * struct RecordFollowerEvents_t - what it tells its owner
- * @record: the newest record of a key; its value is NULL where it was removed
- * @current: the topic ended at @end at the time @at_ms (monotonic), and
- *     all records before it were told
- * @lost: a call failed for the first time, or after a good one; may be NULL
- * @regained: a call succeeded after failed ones; may be NULL
- * @wait_ms: how long to leave a call to the store to peers, 0 to make it now;
- *     @lists where it is for the rest of a list. Not asked for the first call;
- *     may be NULL
- * @gap: records are missing before what a peer has told; FALSE to read them
- *     from the store now; may be NULL
+ * struct RecordFollowerEvents_t - callbacks to the owner
+ * @record: the newest record of a key; its value is NULL if the key was
+ *     removed
+ * @current: the topic ended at @end at the time @at_ms (monotonic), and all
+ *     records before @end were reported
+ * @lost: a call to the store failed, and it is the first one or follows one
+ *     that succeeded; may be NULL
+ * @restored: a call succeeded after failed ones; may be NULL
+ * @wait_ms: how long to leave a call to the store to peers, 0 to make the call
+ *     now; @lists is TRUE if the call is for the remainder of a list. Not
+ *     called for the first call to the store; may be NULL
+ * @gap: records are missing before those that a peer sent; returns FALSE to
+ *     read them from the store now; may be NULL
  */
 typedef struct {
     void (*record)(void *owner, const KeyedRecord_t *record);
     void (*current)(void *owner, StorePosition_t end, gint64 at_ms);
     void (*lost)(void *owner, const GError *error);
-    void (*regained)(void *owner);
+    void (*restored)(void *owner);
     gint64 (*wait_ms)(void *owner, gboolean lists);
     gboolean (*gap)(void *owner);
 } RecordFollowerEvents_t;
 
 /**
- * struct RecordFollowerSpec_t - what it follows
- * @source: must outlive it
+ * struct RecordFollowerSpec_t - source, topic and timing of a follower
+ * @source: must outlive the follower
  * @topic: name of the topic
- * @wait_ms: how long a read may be held until there is a record
- * @pause_ms: least time from when the topic's end was known to the next read
- * @counters: for calls by cause; NULL for none, as in module tests
+ * @wait_ms: how long the store may hold a read until there is a record
+ * @pause_ms: minimum time from when the topic's end was known to the next read
+ * @counters: counts calls by cause; NULL for none, as in module tests
  */
 typedef struct {
     RecordSource_t *source;
@@ -57,89 +60,99 @@
 /** struct RecordFollower_t - opaque */
 typedef struct RecordFollower RecordFollower_t;
 
-/** RecordFollower_create() - start at once */
+/** RecordFollower_create() - create a follower, which starts at once */
 RecordFollower_t *RecordFollower_create(struct event_base *base,
                                         const RecordFollowerSpec_t *spec,
                                         const RecordFollowerEvents_t *events,
                                         void *owner);
 
-/** RecordFollower_destroy() - free it; its source must be freed first */
+/** RecordFollower_destroy() - free the follower; its source must be freed
+ * first */
 void RecordFollower_destroy(RecordFollower_t *this);
 
 /**
- * RecordFollower_setReads() - another @wait_ms and @pause_ms from now on
- * @retry_most_ms: longest mean pause after failures; 0 for the usual one
+ * RecordFollower_setReadTiming() - change @wait_ms and @pause_ms
+ * @retry_max_ms: longest mean pause after failures; 0 for the default
  *
- * A read that is held already goes on.
+ * A read that the store is already holding is not affected.
  */
-void RecordFollower_setReads(RecordFollower_t *this, gint64 wait_ms,
-                             gint64 pause_ms, gint64 retry_most_ms);
+void RecordFollower_setReadTiming(RecordFollower_t *this, gint64 wait_ms,
+                                  gint64 pause_ms, gint64 retry_max_ms);
 
 /**
- * RecordFollower_feed() - take what another follower of the topic has read
- * @from: offset; records of @page are all that is new from here on to its end
- * @page: in the order of offsets
- * @at_ms: monotonic time at which the topic ended there; 0 where it went on
+ * RecordFollower_applyPeerRecords() - apply what another follower of the topic
+ * has read
+ * @from: offset; @page has all new records from here to its end
+ * @page: records in the order of offsets
+ * @at_ms: monotonic time at which the topic ended at the page's end; 0 if
+ *     there were more records
  *
- * Where records before @from are not known here, or it is of another epoch,
- * nothing is taken.
+ * Nothing is applied if records before @from are not known here, or if the
+ * page is of another epoch.
  *
- * Return: whether more is known now
+ * Return: whether the page advanced what is known of the topic
  */
-gboolean RecordFollower_feed(RecordFollower_t *this, guint64 from,
-                             const KeyedPage_t *page, gint64 at_ms);
+gboolean RecordFollower_applyPeerRecords(RecordFollower_t *this, guint64 from,
+                                         const KeyedPage_t *page,
+                                         gint64 at_ms);
 
 /**
- * RecordFollower_wantsList() - whether peers may help with the list
- * @out: from where on; of the follower
+ * RecordFollower_wantsListPage() - whether a page of the list from a peer is
+ * useful now
+ * @out: where the page must continue; its key is owned by the follower
  *
- * That is while it leaves a list to them, and where the store fails or is
- * late.
+ * This is so while the follower leaves a list to its peers, and while the
+ * store fails or is late.
  */
-gboolean RecordFollower_wantsList(const RecordFollower_t *this,
-                                  ListPlace_t *out);
+gboolean RecordFollower_wantsListPage(const RecordFollower_t *this,
+                                      ListCursor_t *out);
 
 /**
- * RecordFollower_feedList() - take a page of the list from a peer
- * @place: that was asked for; taken only if it is the one where the list
- *     stands, or the beginning
- * @part: what follows; no @reached counts where there is no more
+ * RecordFollower_applyPeerListPage() - apply a page of the list from a peer
+ * @cursor: cursor of the query; the page is applied only if the list of
+ *     peers still stands there, or if it is the beginning and no page of a
+ *     peer precedes it
+ * @list_page: the page; its @reached is ignored if it is the last one
  * @at_ms: monotonic time at which the topic ended at the page's end
  *
- * Return: whether it was taken
+ * Return: whether the page was applied
  */
-gboolean RecordFollower_feedList(RecordFollower_t *this,
-                                 const ListPlace_t *place,
-                                 const ListPart_t *part, gint64 at_ms);
+gboolean RecordFollower_applyPeerListPage(RecordFollower_t *this,
+                                          const ListCursor_t *cursor,
+                                          const ListPage_t *list_page,
+                                          gint64 at_ms);
 
-/** RecordFollower_dropList() - begin a list that peers have begun anew, as
- * none of them can go on with it */
-void RecordFollower_dropList(RecordFollower_t *this);
+/** RecordFollower_restartPeerList() - restart a list that peers have begun,
+ * because its cursor is too old for them to continue */
+void RecordFollower_restartPeerList(RecordFollower_t *this);
 
 /**
- * RecordFollower_ask() - read once more beside a read that may be held
- * @cause: why, for the count of calls
+ * RecordFollower_checkEnd() - read once more, in parallel to a read that the
+ * store may be holding
+ * @cause: cause under which the call is counted
  *
- * For an owner that must know soon whether the topic has ended. Nothing
- * happens while such a question is open; its failure is not told.
+ * For an owner that must know soon whether there are more records. Does
+ * nothing while such a check is open or a list is under way. A failed check is
+ * not reported by @lost.
  */
-void RecordFollower_ask(RecordFollower_t *this, StoreCause_t cause);
+void RecordFollower_checkEnd(RecordFollower_t *this, StoreCause_t cause);
 
-/** RecordFollower_unanswered() - questions in a row that failed */
-guint RecordFollower_unanswered(const RecordFollower_t *this);
+/** RecordFollower_failedChecks() - number of consecutive failed checks */
+guint RecordFollower_failedChecks(const RecordFollower_t *this);
 
 /**
- * RecordFollower_beginEpoch() - the store has come back older: list anew
- * @after_ms: wait so long before
+ * RecordFollower_beginEpoch() - list again, as the store was restored from an
+ * older copy
+ * @after_ms: delay before the list
  */
 void RecordFollower_beginEpoch(RecordFollower_t *this, gint64 after_ms);
 
-/** RecordFollower_position() - records before it were told; zeros during a
- * list */
+/** RecordFollower_position() - position before which all records were
+ * reported; zeros during a list */
 StorePosition_t RecordFollower_position(const RecordFollower_t *this);
 
-/** RecordFollower_isListing() - whether what is told comes from a list, of
- * which nobody knows when it was written */
+/** RecordFollower_isListing() - whether reported records come from a list,
+ * which does not say when they were written */
 gboolean RecordFollower_isListing(const RecordFollower_t *this);
 
 /** RecordFollower_isLost() - whether the last call failed */
--- a/src/RecordRelay.c
+++ b/src/RecordRelay.c
@@ -2,17 +2,18 @@
 
 #include "PeerAge.h"
 
-/* Of what is longer only the end is told: each router asks one peer for it,
- * instead of getting it over each of its links. */
-#define NEWS_BYTES_MAX 16384
+/* If the updates are longer, only the end of the topic is broadcast. Each
+ * router then queries one peer for the records instead of receiving them over
+ * each of its links. */
+#define UPDATE_BYTES_MAX 16384
 
 struct RecordRelay {
     Membership_t *membership;
     GString *topic;
-    gsize news_bytes;
-    GPtrArray *news; /* KeyedRecord_t, since the last end that was known */
-    StorePosition_t known; /* end of the topic as last known */
-    gboolean is_known;
+    gsize update_bytes;
+    GPtrArray *updates;       /* KeyedRecord_t, added since @last_end */
+    StorePosition_t last_end; /* end of the topic at the last broadcast */
+    gboolean has_last_end;
 };
 
 RecordRelay_t *
@@ -21,14 +22,14 @@
     RecordRelay_t *this = g_new0(RecordRelay_t, 1);
     this->membership = membership;
     this->topic = g_string_new(topic);
-    this->news = g_ptr_array_new_with_free_func(KeyedRecord_free);
+    this->updates = g_ptr_array_new_with_free_func(KeyedRecord_free);
     return this;
 }
 
 void
 RecordRelay_destroy(RecordRelay_t *this)
 {
-    g_ptr_array_unref(this->news);
+    g_ptr_array_unref(this->updates);
     g_string_free(this->topic, TRUE);
     g_free(this);
 }
@@ -44,16 +45,16 @@
 }
 
 void
-RecordRelay_add(RecordRelay_t *this, const char *key, GBytes *value,
-                StorePosition_t position)
+RecordRelay_addUpdate(RecordRelay_t *this, const char *key, GBytes *value,
+                      StorePosition_t position)
 {
-    GBytes *held = value ? g_bytes_ref(value) : NULL;
-    this->news_bytes += held ? g_bytes_get_size(held) : 0;
-    g_ptr_array_add(this->news, make_record(key, held, position));
+    GBytes *value_ref = value ? g_bytes_ref(value) : NULL;
+    this->update_bytes += value_ref ? g_bytes_get_size(value_ref) : 0;
+    g_ptr_array_add(this->updates, make_record(key, value_ref, position));
 }
 
 void
-RecordRelay_fill(Wt__TopicRecord *out, const KeyedRecord_t *record)
+RecordRelay_encodeRecord(Wt__TopicRecord *out, const KeyedRecord_t *record)
 {
     wt__topic_record__init(out);
     out->key = record->key->str;
@@ -65,7 +66,7 @@
     }
 }
 
-/* To one router, or to all that are linked where it is NULL. */
+/* Sends to one router, or to all linked routers if @member is NULL. */
 static void
 send_part(const RecordRelay_t *this, Member_t *member, Wt__TopicPart *part,
           const GPtrArray *records)
@@ -75,7 +76,7 @@
     g_autofree Wt__TopicRecord **pointers =
         g_new(Wt__TopicRecord *, records->len + 1);
     for (guint i = 0; i < records->len; i++) {
-        RecordRelay_fill(&list[i], g_ptr_array_index(records, i));
+        RecordRelay_encodeRecord(&list[i], g_ptr_array_index(records, i));
         pointers[i] = &list[i];
     }
     Wt__PeerMessage message = WT__PEER_MESSAGE__INIT;
@@ -93,24 +94,25 @@
 }
 
 static void
-send_news(const RecordRelay_t *this, StorePosition_t end, gint64 at_ms,
-          gint64 regained_ms)
+broadcast_updates(const RecordRelay_t *this, StorePosition_t end, gint64 at_ms,
+                  gint64 restored_ms)
 {
     Wt__TopicPart part = WT__TOPIC_PART__INIT;
-    gboolean too_long = RecordRelay_isTooLong(this);
+    gboolean oversized = RecordRelay_isOversized(this);
     g_autoptr(GPtrArray) none = g_ptr_array_new();
-    part.from = too_long ? end.offset : this->known.offset;
+    part.from = oversized ? end.offset : this->last_end.offset;
     part.end = end.offset;
     part.epoch = end.epoch;
     part.age_ms = PeerAge_of(at_ms);
     part.regained_age_ms =
-        regained_ms > 0 ? MAX(PeerAge_of(regained_ms), 1) : 0;
-    send_part(this, NULL, &part, too_long ? none : this->news);
+        restored_ms > 0 ? MAX(PeerAge_of(restored_ms), 1) : 0;
+    send_part(this, NULL, &part, oversized ? none : this->updates);
 }
 
 void
-RecordRelay_answer(const RecordRelay_t *this, Member_t *member, guint64 from,
-                   const GPtrArray *records, StorePosition_t end, gint64 at_ms)
+RecordRelay_sendAnswer(const RecordRelay_t *this, Member_t *member,
+                       guint64 from, const GPtrArray *records,
+                       StorePosition_t end, gint64 at_ms)
 {
     Wt__TopicPart part = WT__TOPIC_PART__INIT;
     part.from = from;
@@ -122,8 +124,8 @@
 }
 
 void
-RecordRelay_answerApart(const RecordRelay_t *this, Member_t *member,
-                        const GPtrArray *records)
+RecordRelay_sendLostRecords(const RecordRelay_t *this, Member_t *member,
+                            const GPtrArray *records)
 {
     Wt__TopicPart part = WT__TOPIC_PART__INIT;
     part.apart = TRUE;
@@ -131,8 +133,8 @@
 }
 
 gboolean
-RecordRelay_ask(const RecordRelay_t *this, Member_t *member,
-                StorePosition_t from, guint64 version)
+RecordRelay_sendQuery(const RecordRelay_t *this, Member_t *member,
+                      StorePosition_t from, guint64 version)
 {
     Wt__TopicAsk ask = WT__TOPIC_ASK__INIT;
     Wt__PeerMessage message = WT__PEER_MESSAGE__INIT;
@@ -146,56 +148,58 @@
 }
 
 gboolean
-RecordRelay_hasNews(const RecordRelay_t *this)
+RecordRelay_hasUpdates(const RecordRelay_t *this)
 {
-    return !this->is_known || this->news->len > 0;
+    return !this->has_last_end || this->updates->len > 0;
 }
 
 void
-RecordRelay_tell(RecordRelay_t *this, StorePosition_t end, gint64 at_ms,
-                 gint64 regained_ms, gboolean from_peer)
+RecordRelay_broadcast(RecordRelay_t *this, StorePosition_t end, gint64 at_ms,
+                      gint64 restored_ms, gboolean from_peer)
 {
-    gboolean follows = this->is_known && this->known.epoch == end.epoch;
-    gboolean told = !this->membership ||
-                    (from_peer && Membership_isMesh(this->membership));
-    if (follows && !told) {
-        send_news(this, end, at_ms, regained_ms);
+    gboolean same_epoch =
+        this->has_last_end && this->last_end.epoch == end.epoch;
+    gboolean no_recipient = !this->membership ||
+                            (from_peer && Membership_isMesh(this->membership));
+    if (same_epoch && !no_recipient) {
+        broadcast_updates(this, end, at_ms, restored_ms);
     }
-    this->known = end;
-    this->is_known = TRUE;
-    this->news_bytes = 0;
-    g_ptr_array_set_size(this->news, 0);
+    this->last_end = end;
+    this->has_last_end = TRUE;
+    this->update_bytes = 0;
+    g_ptr_array_set_size(this->updates, 0);
 }
 
 gboolean
-RecordRelay_isTooLong(const RecordRelay_t *this)
+RecordRelay_isOversized(const RecordRelay_t *this)
 {
-    return this->news_bytes > NEWS_BYTES_MAX;
+    return this->update_bytes > UPDATE_BYTES_MAX;
 }
 
 KeyedPage_t
-RecordRelay_read(const Wt__TopicPart *message)
+RecordRelay_decode(const Wt__TopicPart *message)
 {
-    KeyedPage_t page = RecordRelay_readRecords(
+    KeyedPage_t page = RecordRelay_decodeRecords(
         message->records, message->n_records, message->epoch);
     page.end = (StorePosition_t){message->epoch, message->end};
     return page;
 }
 
 KeyedPage_t
-RecordRelay_readRecords(Wt__TopicRecord *const *records, size_t count,
-                        guint64 epoch)
+RecordRelay_decodeRecords(Wt__TopicRecord *const *records, size_t count,
+                          guint64 epoch)
 {
     KeyedPage_t page = {
         .records = g_ptr_array_new_with_free_func(KeyedRecord_free),
     };
     for (size_t i = 0; i < count; i++) {
-        const Wt__TopicRecord *told = records[i];
-        GBytes *value = told->value.len > 0
-                            ? g_bytes_new(told->value.data, told->value.len)
-                            : NULL;
-        StorePosition_t position = {epoch, told->offset};
-        g_ptr_array_add(page.records, make_record(told->key, value, position));
+        const Wt__TopicRecord *record = records[i];
+        GBytes *value = record->value.len > 0 ? g_bytes_new(record->value.data,
+                                                            record->value.len)
+                                              : NULL;
+        StorePosition_t position = {epoch, record->offset};
+        g_ptr_array_add(page.records,
+                        make_record(record->key, value, position));
     }
     return page;
 }
--- a/src/RecordSource.h
+++ b/src/RecordSource.h
@@ -3,17 +3,17 @@
 /**
  * DOC: RecordSource
  *
- * A keyed topic of the platform's store as the rest of the project sees it:
- * a log of records with keys, of which the newest of each key stays. A wire
- * form of it is one class.
+ * Interface to a keyed topic of the platform's store: a log of records with
+ * keys, in which the newest record of each key is retained. Each wire form of
+ * the store is one class.
  */
 #include "KeyedRecord.h"
 
 /**
- * struct KeyedPage_t - the answer to a call, valid during its callback
+ * struct KeyedPage_t - the answer to a call, valid during the callback
  * @records: KeyedRecord_t *, freed with the page
- * @end: where the next record of the topic gets its place
- * @more: a list goes on after the last key of this page
+ * @end: position that the next record of the topic will get
+ * @more: the list continues after the last key of this page
  */
 typedef struct {
     GPtrArray *records;
@@ -22,24 +22,26 @@
 } KeyedPage_t;
 
 /**
- * KeyedDone_t - called once for each call
- * @page: NULL where there is an error
- * @error: WT_ERROR_TRUNCATED where the offset is older than the topic keeps
+ * KeyedPageDone_t - callback with the result of a list or a read, called once
+ * @page: NULL on error
+ * @error: NULL on success; WT_ERROR_TRUNCATED if records at the offset have
+ *     expired
  */
-typedef void (*KeyedDone_t)(const KeyedPage_t *page, const GError *error,
-                            void *data);
+typedef void (*KeyedPageDone_t)(const KeyedPage_t *page, const GError *error,
+                                void *data);
 
 /**
- * KeyedPut_t - called once for each record that was put
- * @error: NULL where it is there; else it may be there or may yet be, but for
- *     WT_ERROR_CONNECT and _REFUSED
+ * KeyedPutDone_t - callback with the result of a put, called once
+ * @error: NULL if the record was stored. After WT_ERROR_CONNECT and
+ *     WT_ERROR_REFUSED the record was not stored; after any other error it may
+ *     be stored already or later
  */
-typedef void (*KeyedPut_t)(const GError *error, void *data);
+typedef void (*KeyedPutDone_t)(const GError *error, void *data);
 
 typedef struct RecordSource RecordSource_t;
 
 /**
- * struct RecordSourceClass_t - one wire form
+ * struct RecordSourceClass_t - operations of one wire form
  * @destroy: see RecordSource_destroy()
  * @list: see RecordSource_list()
  * @read: see RecordSource_read()
@@ -48,19 +50,20 @@
 typedef struct {
     void (*destroy)(RecordSource_t *this);
     void (*list)(RecordSource_t *this, const char *topic, const char *after,
-                 KeyedDone_t done, void *data);
+                 KeyedPageDone_t done, void *data);
     void (*read)(RecordSource_t *this, const char *topic, guint64 from,
-                 gint64 wait_ms, KeyedDone_t done, void *data);
+                 gint64 wait_ms, KeyedPageDone_t done, void *data);
     void (*put)(RecordSource_t *this, const char *topic, const char *key,
-                GBytes *value, KeyedPut_t done, void *data);
+                GBytes *value, KeyedPutDone_t done, void *data);
 } RecordSourceClass_t;
 
-/** struct RecordSource_t - extended by each class */
+/** struct RecordSource_t - base structure, extended by each class */
 struct RecordSource {
     const RecordSourceClass_t *class;
 };
 
-/** RecordSource_destroy() - free it; open calls are never answered */
+/** RecordSource_destroy() - free the source; callbacks of open calls are never
+ * called */
 static inline void
 RecordSource_destroy(RecordSource_t *this)
 {
@@ -68,23 +71,23 @@
 }
 
 /**
- * RecordSource_list() - the newest record of each key, a page of them
- * @after: the last key of the page before, or NULL
+ * RecordSource_list() - list the newest record of each key, one page per call
+ * @after: last key of the previous page, or NULL for the first page
  */
 static inline void
 RecordSource_list(RecordSource_t *this, const char *topic, const char *after,
-                  KeyedDone_t done, void *data)
+                  KeyedPageDone_t done, void *data)
 {
     this->class->list(this, topic, after, done, data);
 }
 
 /**
- * RecordSource_read() - records from an offset on
- * @wait_ms: how long the answer may be held until there is one
+ * RecordSource_read() - read records from an offset on
+ * @wait_ms: how long the store may hold the answer until there is a record
  */
 static inline void
 RecordSource_read(RecordSource_t *this, const char *topic, guint64 from,
-                  gint64 wait_ms, KeyedDone_t done, void *data)
+                  gint64 wait_ms, KeyedPageDone_t done, void *data)
 {
     this->class->read(this, topic, from, wait_ms, done, data);
 }
@@ -95,7 +98,7 @@
  */
 static inline void
 RecordSource_put(RecordSource_t *this, const char *topic, const char *key,
-                 GBytes *value, KeyedPut_t done, void *data)
+                 GBytes *value, KeyedPutDone_t done, void *data)
 {
     this->class->put(this, topic, key, value, done, data);
 }
--- a/src/RouteSync.c
+++ b/src/RouteSync.c
@@ -78,8 +78,8 @@
     if (!RecordFollower_isListing(this->follower)) {
         ListCopy_noteChange(this->copy, record);
     }
-    RecordRelay_add(this->records, record->key->str, record->value,
-                    record->position);
+    RecordRelay_addUpdate(this->records, record->key->str, record->value,
+                          record->position);
     RouteVersions_take(this->versions, record);
 }
 
@@ -94,12 +94,12 @@
 set_reads(RouteSync_t *this)
 {
     if (FreshnessRelay_isReader(this->relay)) {
-        RecordFollower_setReads(this->follower, this->spec.reader_wait_ms,
-                                reader_pause_ms(this), 0);
+        RecordFollower_setReadTiming(this->follower, this->spec.reader_wait_ms,
+                                     reader_pause_ms(this), 0);
         return;
     }
-    RecordFollower_setReads(this->follower, 0, this->spec.wait_ms,
-                            this->spec.wait_ms);
+    RecordFollower_setReadTiming(this->follower, 0, this->spec.wait_ms,
+                                 this->spec.wait_ms);
 }
 
 static gboolean
@@ -109,8 +109,8 @@
     if (now_ms - this->pulled_ms < PULL_EVERY_MS) {
         return TRUE;
     }
-    gboolean sent = RecordRelay_ask(this->records, from, known,
-                                    RouteVersions_newest(this->versions));
+    gboolean sent = RecordRelay_sendQuery(
+        this->records, from, known, RouteVersions_newest(this->versions));
     if (sent) {
         this->pulled_ms = now_ms;
     }
@@ -134,13 +134,13 @@
 static void
 pass_on(RouteSync_t *this, StorePosition_t end, gint64 at_ms)
 {
-    if (!RecordRelay_hasNews(this->records)) {
+    if (!RecordRelay_hasUpdates(this->records)) {
         return;
     }
-    if (RecordRelay_isTooLong(this->records)) {
+    if (RecordRelay_isOversized(this->records)) {
         FreshnessRelay_tellNow(this->relay);
     }
-    RecordRelay_tell(this->records, end, at_ms, 0, this->feeding);
+    RecordRelay_broadcast(this->records, end, at_ms, 0, this->feeding);
 }
 
 static void
@@ -152,7 +152,7 @@
     }
     if (!this->copied) {
         this->copied = TRUE;
-        ListCopy_begin(this->copy, end);
+        ListCopy_startChanges(this->copy, end);
     }
     ListExchange_setCurrent(this->exchange, end, at_ms);
     RouteVersions_noteCurrent(this->versions, at_ms);
@@ -170,7 +170,7 @@
     gint64 now_ms = Clock_nowMs();
     if (now_ms - this->asked_ms >= least_ms) {
         this->asked_ms = now_ms;
-        RecordFollower_ask(this->follower, cause);
+        RecordFollower_checkEnd(this->follower, cause);
     }
 }
 
@@ -205,7 +205,7 @@
 {
     KeyedPage_t page = {.records = g_ptr_array_new(), .end = end};
     this->feeding = TRUE;
-    RecordFollower_feed(this->follower, end.offset, &page, at_ms);
+    RecordFollower_applyPeerRecords(this->follower, end.offset, &page, at_ms);
     this->feeding = FALSE;
     g_ptr_array_unref(page.records);
 }
@@ -258,7 +258,7 @@
     this->behind_ms = 0;
     this->copied = FALSE;
     RecordFollower_beginEpoch(this->follower, spread_ms(this));
-    ListExchange_seek(this->exchange);
+    ListExchange_startQueries(this->exchange);
     draw_turn(this);
 }
 
@@ -310,7 +310,7 @@
         return;
     }
     guint doublings =
-        MIN(RecordFollower_unanswered(this->follower), ASK_DOUBLINGS);
+        MIN(RecordFollower_failedChecks(this->follower), ASK_DOUBLINGS);
     ask_store(this, ASK_EVERY_MS << doublings, STORE_UNTOLD);
     draw_turn(this);
 }
@@ -370,7 +370,7 @@
         FreshnessRelay_create(base, spec->membership, &relay_events, this);
     this->follower =
         RecordFollower_create(base, &follow, &follower_events, this);
-    ListExchange_follow(this->exchange, this->follower);
+    ListExchange_setFollower(this->exchange, this->follower);
     this->tick = Clock_timer(base, on_tick, this);
     StoreEpoch_listen(spec->epoch, on_return, this);
     draw_turn(this);
@@ -423,7 +423,7 @@
 static void
 take_apart(RouteSync_t *this, const Wt__TopicPart *message)
 {
-    KeyedPage_t page = RecordRelay_read(message);
+    KeyedPage_t page = RecordRelay_decode(message);
     for (guint i = 0; i < page.records->len; i++) {
         RouteVersions_take(this->versions, g_ptr_array_index(page.records, i));
     }
@@ -433,7 +433,7 @@
 void
 RouteSync_takeAsk(RouteSync_t *this, Member_t *from, const Wt__ListAsk *ask)
 {
-    ListExchange_answer(this->exchange, from, ask);
+    ListExchange_answerQuery(this->exchange, from, ask);
 }
 
 void
@@ -443,7 +443,7 @@
         return; /* it is asked for again */
     }
     this->feeding = TRUE;
-    ListExchange_take(this->exchange, from, page);
+    ListExchange_receivePage(this->exchange, from, page);
     this->feeding = FALSE;
 }
 
@@ -459,12 +459,13 @@
     if (!StoreEpoch_note(this->spec.epoch, message->epoch, "peer")) {
         return;
     }
-    KeyedPage_t page = RecordRelay_read(message);
+    KeyedPage_t page = RecordRelay_decode(message);
     gint64 at_ms = FreshnessRelay_mayHaveWaited(this->relay)
                        ? 0
                        : PeerAge_atMs(message->age_ms);
     this->feeding = TRUE;
-    RecordFollower_feed(this->follower, message->from, &page, at_ms);
+    RecordFollower_applyPeerRecords(this->follower, message->from, &page,
+                                    at_ms);
     this->feeding = FALSE;
     g_ptr_array_unref(page.records);
 }
@@ -500,7 +501,7 @@
 {
     GPtrArray *records = RouteVersions_apart(this->versions, known);
     if (records->len > 0) {
-        RecordRelay_answerApart(this->records, from, records);
+        RecordRelay_sendLostRecords(this->records, from, records);
     }
     g_ptr_array_unref(records);
 }
@@ -523,7 +524,7 @@
         return;
     }
     GPtrArray *records = newest_from(this, from_there);
-    RecordRelay_answer(this->records, from, message->from, records, known,
-                       now_ms - age_ms);
+    RecordRelay_sendAnswer(this->records, from, message->from, records, known,
+                           now_ms - age_ms);
     g_ptr_array_unref(records);
 }
--- a/src/Router.c
+++ b/src/Router.c
@@ -79,7 +79,7 @@
         RetryBudget_create((guint)settings->limits.retry_percent,
                            (guint)settings->limits.retry_allowance);
     context->traces = Traces_create();
-    context->turn_end = TurnEnd_create(context->base);
+    context->deferred_calls = DeferredCalls_create(context->base);
     context->incarnation = (guint64)Clock_wallMs();
 }
 
@@ -441,7 +441,7 @@
 {
     Context_t *context = &this->context;
     Traces_destroy(context->traces);
-    TurnEnd_destroy(context->turn_end);
+    DeferredCalls_destroy(context->deferred_calls);
     RetryBudget_destroy(context->budget);
     CustomerLimits_destroy(context->limits);
     Policy_destroy(context->service_policy);
--- a/src/StreamExchange.c
+++ b/src/StreamExchange.c
@@ -498,7 +498,7 @@
         .id = spec->id,
         .model = this->super.target->str,
         .buffer_max = (gsize)context->settings->limits.stream_buffer,
-        .turn_end = context->turn_end,
+        .deferred_calls = context->deferred_calls,
     };
     this->answer = Answer_create(context->base, &form, &answer_events, this);
     Exchange_begin(&this->super);
--- a/src/UpstreamListing.c
+++ b/src/UpstreamListing.c
@@ -298,8 +298,8 @@
 static void
 tell_change(UpstreamListing_t *this, const KeyedRecord_t *record)
 {
-    RecordRelay_add(this->relay, record->key->str, record->value,
-                    record->position);
+    RecordRelay_addUpdate(this->relay, record->key->str, record->value,
+                          record->position);
     if (!this->listing) {
         ListCopy_noteChange(this->copy, record);
     }
@@ -448,15 +448,15 @@
 {
     gint64 pause = pause_ms(this);
     gboolean for_others = pause < this->spec.poll_ms;
-    RecordFollower_setReads(this->follower, 0, pause,
-                            for_others ? 0 : RETRY_MOST_MS);
+    RecordFollower_setReadTiming(this->follower, 0, pause,
+                                 for_others ? 0 : RETRY_MOST_MS);
 }
 
 static void
 end_listing(UpstreamListing_t *this, StorePosition_t end)
 {
     this->listing = FALSE;
-    ListCopy_begin(this->copy, end);
+    ListCopy_startChanges(this->copy, end);
 }
 
 static void
@@ -465,7 +465,7 @@
     if (this->listed > LISTED_NAMED) {
         Log_begin(LOG_LEVEL_INFO, "upstreams_listed");
         Log_number("new", this->listed);
-        Log_number("upstreams", ListCopy_count(this->copy));
+        Log_number("upstreams", ListCopy_countKeys(this->copy));
         Log_text("from", this->feeding ? "peer" : "store");
         Log_number("end", (gint64)end.offset);
         Log_end();
@@ -493,8 +493,8 @@
     note_copy(this, end, at_ms);
     this->known = TRUE;
     set_reads(this);
-    RecordRelay_tell(this->relay, end, at_ms, this->regained_ms,
-                     this->feeding);
+    RecordRelay_broadcast(this->relay, end, at_ms, this->regained_ms,
+                          this->feeding);
 }
 
 /* Ranks are known once the router has had time to learn of the others. */
@@ -516,7 +516,7 @@
 ask_rest(UpstreamListing_t *this, Member_t *peer)
 {
     StorePosition_t known = RecordFollower_position(this->follower);
-    gboolean asked = RecordRelay_ask(this->relay, peer, known, 0);
+    gboolean asked = RecordRelay_sendQuery(this->relay, peer, known, 0);
     this->gap_asked_ms = asked ? Clock_nowMs() : 0;
     g_string_assign(this->gap_peer, asked ? peer->name->str : "");
     return asked;
@@ -538,8 +538,8 @@
     if (this->gap_ms == 0) {
         this->gap_ms = now_ms;
     }
-    return !ListExchange_mayAsk(this->exchange, this->teller,
-                                now_ms - this->gap_ms) ||
+    return !ListExchange_mayQuery(this->exchange, this->teller,
+                                  now_ms - this->gap_ms) ||
            ask_rest(this, this->teller);
 }
 
@@ -565,7 +565,7 @@
     if (!StoreEpoch_note(this->spec.epoch, message->epoch, "peer")) {
         return;
     }
-    KeyedPage_t page = RecordRelay_read(message);
+    KeyedPage_t page = RecordRelay_decode(message);
     if (message->regained_age_ms > 0) {
         gint64 regained_ms = PeerAge_atMs(message->regained_age_ms);
         this->regained_ms = MAX(this->regained_ms, regained_ms);
@@ -576,8 +576,8 @@
     this->feeding = TRUE;
     this->teller = from;
     gint64 at_ms = message->partial ? 0 : PeerAge_atMs(message->age_ms);
-    gboolean taken =
-        RecordFollower_feed(this->follower, message->from, &page, at_ms);
+    gboolean taken = RecordFollower_applyPeerRecords(
+        this->follower, message->from, &page, at_ms);
     this->teller = NULL;
     this->feeding = FALSE;
     g_ptr_array_unref(page.records);
@@ -598,10 +598,10 @@
     g_autoptr(GPtrArray) records = g_ptr_array_new();
     if (known.epoch == place.epoch && known.offset > place.offset &&
         ListExchange_mayServe(this->exchange, from) &&
-        ListCopy_since(this->copy, place, GAP_BYTES, records, &end)) {
+        ListCopy_readChanges(this->copy, place, GAP_BYTES, records, &end)) {
         gboolean all = StorePosition_compare(end, known) == 0;
-        RecordRelay_answer(this->relay, from, place.offset, records, end,
-                           all ? this->current_ms : 0);
+        RecordRelay_sendAnswer(this->relay, from, place.offset, records, end,
+                               all ? this->current_ms : 0);
     }
 }
 
@@ -630,7 +630,7 @@
     this->regained_ms = Clock_nowMs();
     RecordFollower_beginEpoch(this->follower, spread_ms(this));
     if (this->exchange) {
-        ListExchange_seek(this->exchange);
+        ListExchange_startQueries(this->exchange);
     }
 }
 
@@ -642,7 +642,7 @@
     gint64 behind = (gint64)(this->ahead.offset - known.offset);
     gboolean comparable =
         known.offset > 0 && this->ahead.epoch == known.epoch && behind > 0;
-    return MAX(ListCopy_count(this->copy), comparable ? behind : 1);
+    return MAX(ListCopy_countKeys(this->copy), comparable ? behind : 1);
 }
 
 /* Ranks beyond those that the store bears at once take turns of their own,
@@ -666,7 +666,7 @@
 {
     gint64 rank = Membership_rank(this->spec.membership, RANK_KEY, NULL);
     gint64 routers = Membership_live(this->spec.membership);
-    gboolean bears = ListCopy_count(this->copy) > 0 &&
+    gboolean bears = ListCopy_countKeys(this->copy) > 0 &&
                      routers * entries_missing(this) <= ENTRIES_AT_ONCE;
     gint64 step_ms = READ_STEP_MS << MIN(this->retries, RETRY_DOUBLINGS);
     gint64 after_ms =
@@ -698,13 +698,14 @@
     if (!this->exchange) {
         return 0;
     }
-    return lists ? ListExchange_waitMs(this->exchange) : turn_wait_ms(this);
+    return lists ? ListExchange_msUntilStoreRead(this->exchange)
+                 : turn_wait_ms(this);
 }
 
 static const RecordFollowerEvents_t follower_events = {
     .record = on_record,
     .current = on_current,
-    .regained = on_regained,
+    .restored = on_regained,
     .wait_ms = wait_ms,
     .gap = on_gap,
 };
@@ -719,7 +720,7 @@
         .counters = this->spec.counters,
     };
     this->exchange = ListExchange_create(base, &spec, this->copy);
-    ListExchange_follow(this->exchange, this->follower);
+    ListExchange_setFollower(this->exchange, this->follower);
     Clock_arm(this->settled, SETTLED_LOOK_MS);
 }
 
@@ -788,7 +789,7 @@
 UpstreamListing_takeAsk(UpstreamListing_t *this, Member_t *from,
                         const Wt__ListAsk *ask)
 {
-    ListExchange_answer(this->exchange, from, ask);
+    ListExchange_answerQuery(this->exchange, from, ask);
 }
 
 void
@@ -796,7 +797,7 @@
                          const Wt__ListPage *page)
 {
     this->feeding = TRUE;
-    ListExchange_take(this->exchange, from, page);
+    ListExchange_receivePage(this->exchange, from, page);
     this->feeding = FALSE;
 }
 
--- a/tests/FakeSource.c
+++ b/tests/FakeSource.c
@@ -6,7 +6,7 @@
 
 static void
 list(RecordSource_t *super, const char *topic, const char *after,
-     KeyedDone_t done, void *data)
+     KeyedPageDone_t done, void *data)
 {
     (void)topic;
     (void)after;
@@ -17,7 +17,7 @@
 
 static void
 read_from(RecordSource_t *super, const char *topic, guint64 from,
-          gint64 wait_ms, KeyedDone_t done, void *data)
+          gint64 wait_ms, KeyedPageDone_t done, void *data)
 {
     (void)topic;
     (void)wait_ms;
@@ -29,7 +29,7 @@
 
 static void
 put(RecordSource_t *super, const char *topic, const char *key, GBytes *value,
-    KeyedPut_t done, void *data)
+    KeyedPutDone_t done, void *data)
 {
     (void)topic;
     FakeSource_t *this = (FakeSource_t *)super;
@@ -60,7 +60,7 @@
 static void
 end_call(FakeSource_t *this, const KeyedPage_t *page, const GError *error)
 {
-    KeyedDone_t done = this->done;
+    KeyedPageDone_t done = this->done;
     this->done = NULL;
     done(page, error, this->data);
 }
@@ -108,7 +108,7 @@
     while (!this->put_done) {
         event_base_loop(this->base, EVLOOP_ONCE);
     }
-    KeyedPut_t done = this->put_done;
+    KeyedPutDone_t done = this->put_done;
     g_autoptr(GError) error =
         code != 0 ? g_error_new(WT_ERROR, code, "as the test says") : NULL;
     this->put_done = NULL;
--- a/tests/FakeSource.h
+++ b/tests/FakeSource.h
@@ -28,11 +28,11 @@
     RecordSource_t super;
     struct event_base *base;
     guint64 read_from;
-    KeyedDone_t done;
+    KeyedPageDone_t done;
     void *data;
     char put_key[FAKE_KEY_MAX];
     GBytes *put_value;
-    KeyedPut_t put_done;
+    KeyedPutDone_t put_done;
     void *put_data;
 } FakeSource_t;
 
--- a/tests/fuzz/peers.c
+++ b/tests/fuzz/peers.c
@@ -187,7 +187,7 @@
 
 static void
 no_list(RecordSource_t *source, const char *topic, const char *after,
-        KeyedDone_t done, void *data)
+        KeyedPageDone_t done, void *data)
 {
     (void)source;
     (void)topic;
@@ -224,19 +224,20 @@
     RecordFollowerSpec_t spec = {.source = &source, .topic = "t"};
     RecordFollower_t *follower =
         RecordFollower_create(base, &spec, &events, NULL);
-    ListPart_t part = {.page = RecordRelay_readRecords(message->records,
-                                                       message->n_records,
-                                                       message->epoch),
+    ListPage_t part = {.page = RecordRelay_decodeRecords(message->records,
+                                                         message->n_records,
+                                                         message->epoch),
                        .reached = message->reached};
-    ListPlace_t place = {message->after, {message->epoch, message->from}};
+    ListCursor_t place = {message->after, {message->epoch, message->from}};
     part.page.more = message->more;
     part.page.end = (StorePosition_t){message->epoch, message->end};
-    gboolean taken = RecordFollower_feedList(follower, &place, &part, 1);
-    ListPlace_t next = {""};
-    gboolean wants = RecordFollower_wantsList(follower, &next);
+    gboolean taken =
+        RecordFollower_applyPeerListPage(follower, &place, &part, 1);
+    ListCursor_t next = {""};
+    gboolean wants = RecordFollower_wantsListPage(follower, &next);
     g_assert(!taken || wants == part.page.more);
     g_assert(!taken || !wants || strcmp(next.after, place.after) > 0);
-    RecordFollower_feedList(follower, &place, &part, 2);
+    RecordFollower_applyPeerListPage(follower, &place, &part, 2);
     g_ptr_array_unref(part.page.records);
     RecordFollower_destroy(follower);
 }
@@ -250,11 +251,11 @@
     KeyedRecord_t record = {
         .key = &key, .value = g_bytes_new_static("v", 1), .position = {1, 1}};
     ListCopy_put(copy, &record);
-    ListCopy_begin(copy, (StorePosition_t){1, 2});
+    ListCopy_startChanges(copy, (StorePosition_t){1, 2});
     ListCopy_noteChange(copy, &record);
-    ListPlace_t place = {message->after, {message->epoch, message->from}};
-    ListPart_t part = {{0}};
-    if (ListCopy_read(copy, &place, 1, &part)) {
+    ListCursor_t place = {message->after, {message->epoch, message->from}};
+    ListPage_t part = {{0}};
+    if (ListCopy_readPage(copy, &place, 1, &part)) {
         g_assert(!part.page.more || strcmp(part.reached, place.after) > 0);
         g_ptr_array_unref(part.page.records);
     }
--- a/tests/test_Fleet.c
+++ b/tests/test_Fleet.c
@@ -12,14 +12,14 @@
 #include "FleetStore.h"
 
 static GBytes *
-bytes(const char *text)
+make_bytes(const char *text)
 {
     return g_bytes_new(text, strlen(text));
 }
 
-START_TEST(a_configuration_is_read)
+START_TEST(configuration_is_decoded)
 {
-    GBytes *value = bytes(
+    GBytes *value = make_bytes(
         "{\"version\":7,\"routes\":[{\"name\":\"r\",\"hostname\":\"h\","
         "\"path_prefix\":\"/p/\",\"kind\":\"stream\",\"timeout_ms\":4000.0,"
         "\"target_latency_ms\":600,\"priority\":1,\"traffic_split\":["
@@ -52,12 +52,12 @@
 }
 END_TEST
 
-START_TEST(a_bad_configuration_is_a_typed_error)
+START_TEST(invalid_configuration_is_a_typed_error)
 {
     static const char *const texts[] = {"", "[]", "{\"routes\":[]}", "{"};
     for (gsize i = 0; i < G_N_ELEMENTS(texts); i++) {
         g_autoptr(GError) error = NULL;
-        GBytes *value = bytes(texts[i]);
+        GBytes *value = make_bytes(texts[i]);
         ck_assert_ptr_null(Fleet_form.decode_config(value, &error));
         ck_assert_ptr_nonnull(error);
         g_bytes_unref(value);
@@ -65,10 +65,10 @@
 }
 END_TEST
 
-START_TEST(an_entry_of_the_list_is_read)
+START_TEST(list_entry_is_decoded)
 {
     ListedUpstream_t entry;
-    GBytes *value = bytes(
+    GBytes *value = make_bytes(
         "{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"zone\":\"z\","
         "\"version\":\"v1\",\"slots\":64,\"state\":\"draining\","
         "\"cold_left_ms\":250,\"call_seq\":3,\"born\":1777568853587,"
@@ -85,7 +85,7 @@
 }
 END_TEST
 
-#define GOOD_ENTRY                                                            \
+#define VALID_ENTRY                                                           \
     "{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone\":\"z\","          \
     "\"version\":\"v\",\"slots\":4,\"state\":\"ready\",\"cold_left_ms\":0,"   \
     "\"call_seq\":0,\"born\":5}"
@@ -95,32 +95,29 @@
 {
     ListedUpstream_t entry;
     g_autoptr(GError) error = NULL;
-    GBytes *value = bytes(text);
+    GBytes *value = make_bytes(text);
     ListedUpstream_init(&entry);
-    gboolean good = Fleet_form.decode_upstream(value, &entry, &error);
-    ck_assert(good == (error == NULL));
+    gboolean is_valid = Fleet_form.decode_upstream(value, &entry, &error);
+    ck_assert(is_valid == (error == NULL));
     ListedUpstream_clear(&entry);
     g_bytes_unref(value);
-    return good;
+    return is_valid;
 }
 
 static gboolean
 is_upstream_with(const char *from, const char *to)
 {
-    g_autoptr(GString) text = g_string_new(GOOD_ENTRY);
+    g_autoptr(GString) text = g_string_new(VALID_ENTRY);
     ck_assert_uint_eq(g_string_replace(text, from, to, 1), 1);
     return is_upstream(text->str);
 }
 
-/*
- * Symptom: an entry whose state was no state of an upstream got requests.
- * Sequence: another writer puts an entry into the list. Cause: fields that
- * were missing or of another type were taken for their usual values. Settled
- * by: such an entry names no upstream.
- */
-START_TEST(an_entry_of_another_writer_names_no_upstream)
+/* An upstream with an unknown state got requests: another writer had put an
+ * entry into the list, and fields that were missing or of a wrong type were
+ * replaced by defaults. */
+START_TEST(malformed_list_entry_is_rejected)
 {
-    static const char *const parts[][3] = {
+    static const char *const field_variants[][3] = {
         {"\"service\":\"s\",", "", "\"service\":7,"},
         {"\"address\":\"10.0.0.9:80\",", "", "\"address\":[],"},
         {"\"zone\":\"z\",", "", "\"zone\":null,"},
@@ -130,23 +127,26 @@
         {"\"cold_left_ms\":0,", "", "\"cold_left_ms\":{},"},
         {"\"call_seq\":0,", "", "\"call_seq\":-1,"},
     };
-    static const char *const births[] = {"\"5\"", "5.5",  "0",
-                                         "-5",    "null", "1e300"};
+    static const char *const incarnations[] = {"\"5\"", "5.5",  "0",
+                                               "-5",    "null", "1e300"};
     static const char *const addresses[] = {
         "10.0.0.9",       "10.0.0.9:", ":80",       "10.0.0.9:0",
         "10.0.0.9:70000", "host:80",   "10.0.0:80", ""};
     static const char *const texts[] = {"",         "{",  "[]",  "\"x\"",
                                         "\xff\xfe", "{}", "null"};
-    ck_assert(is_upstream(GOOD_ENTRY));
+    ck_assert(is_upstream(VALID_ENTRY));
     ck_assert(is_upstream_with(",\"born\":5", ""));
-    for (gsize i = 0; i < G_N_ELEMENTS(parts); i++) {
-        ck_assert_msg(!is_upstream_with(parts[i][0], parts[i][1]), "%s left",
-                      parts[i][0]);
-        ck_assert_msg(!is_upstream_with(parts[i][0], parts[i][2]), "%s",
-                      parts[i][2]);
+    for (gsize i = 0; i < G_N_ELEMENTS(field_variants); i++) {
+        ck_assert_msg(
+            !is_upstream_with(field_variants[i][0], field_variants[i][1]),
+            "%s left", field_variants[i][0]);
+        ck_assert_msg(
+            !is_upstream_with(field_variants[i][0], field_variants[i][2]),
+            "%s", field_variants[i][2]);
     }
-    for (gsize i = 0; i < G_N_ELEMENTS(births); i++) {
-        g_autofree char *born = g_strdup_printf("\"born\":%s", births[i]);
+    for (gsize i = 0; i < G_N_ELEMENTS(incarnations); i++) {
+        g_autofree char *born =
+            g_strdup_printf("\"born\":%s", incarnations[i]);
         ck_assert_msg(!is_upstream_with("\"born\":5", born), "%s", born);
     }
     for (gsize i = 0; i < G_N_ELEMENTS(addresses); i++) {
@@ -161,14 +161,14 @@
 }
 END_TEST
 
-START_TEST(framed_records_come_back)
+START_TEST(framed_records_are_restored)
 {
     g_autoptr(GByteArray) body = g_byte_array_new();
     guint64 offsets[] = {GUINT64_TO_BE(7), GUINT64_TO_BE(5)};
     g_byte_array_append(body, (guint8 *)offsets, sizeof(offsets));
     static const char *const texts[] = {"ab", "", "c"};
     for (gsize i = 0; i < G_N_ELEMENTS(texts); i++) {
-        GBytes *record = bytes(texts[i]);
+        GBytes *record = make_bytes(texts[i]);
         GBytes *framed = FleetStore_frame(record);
         gsize size = 0;
         const guint8 *data = g_bytes_get_data(framed, &size);
@@ -212,7 +212,7 @@
     return head;
 }
 
-START_TEST(only_a_mark_proves_that_nothing_ran)
+START_TEST(only_explicit_marks_count_as_not_run)
 {
     ck_assert(!read_head(503, NULL, NULL).not_run);
     ck_assert(!read_head(500, NULL, NULL).not_run);
@@ -236,11 +236,11 @@
 }
 END_TEST
 
-START_TEST(callers_cannot_set_what_is_ours)
+START_TEST(callers_cannot_set_internal_headers)
 {
     struct evkeyvalq caller;
     struct evkeyvalq out;
-    static const char *const ours[] = {
+    static const char *const internal[] = {
         "X-Tenant",         "Api-Key",
         "X-Cache-Salt",     "X-Hold",
         "X-Pin-Ms",         "Kv-From",
@@ -249,8 +249,8 @@
         "Transfer-Encoding"};
     TAILQ_INIT(&caller);
     TAILQ_INIT(&out);
-    for (gsize i = 0; i < G_N_ELEMENTS(ours); i++) {
-        evhttp_add_header(&caller, ours[i], "forged");
+    for (gsize i = 0; i < G_N_ELEMENTS(internal); i++) {
+        evhttp_add_header(&caller, internal[i], "forged");
     }
     evhttp_add_header(&caller, "X-Length-Hint", "12");
     RelayOrder_t order = {.instance = "i-1", .wait_ms = 250};
@@ -258,15 +258,15 @@
     ck_assert_str_eq(evhttp_find_header(&out, "X-Length-Hint"), "12");
     ck_assert_str_eq(evhttp_find_header(&out, "X-Expect-Instance"), "i-1");
     ck_assert_str_eq(evhttp_find_header(&out, "X-Deadline-Ms"), "250");
-    for (gsize i = 0; i < G_N_ELEMENTS(ours); i++) {
-        ck_assert_ptr_null(evhttp_find_header(&out, ours[i]));
+    for (gsize i = 0; i < G_N_ELEMENTS(internal); i++) {
+        ck_assert_ptr_null(evhttp_find_header(&out, internal[i]));
     }
     evhttp_clear_headers(&caller);
     evhttp_clear_headers(&out);
 }
 END_TEST
 
-/* Tokens of all parts, or -1 where the header is refused. */
+/* Returns the tokens of all parts, or -1 if the header is refused. */
 static gint64
 tokens_of_parts(const char *header)
 {
@@ -277,9 +277,9 @@
     evhttp_add_header(headers, "X-Request-Id", "q");
     evhttp_add_header(headers, "X-Prompt-Prefix", header);
     http->uri = strdup("/");
-    gboolean good = Fleet_form.caller->read_request(http, &request, NULL);
-    gint64 tokens = good ? 0 : -1;
-    for (guint i = 0; good && i < request.part_count; i++) {
+    gboolean is_valid = Fleet_form.caller->read_request(http, &request, NULL);
+    gint64 tokens = is_valid ? 0 : -1;
+    for (guint i = 0; is_valid && i < request.part_count; i++) {
         tokens += request.parts[i].tokens;
     }
     Fleet_form.caller->clear_request(&request);
@@ -287,14 +287,11 @@
     return tokens;
 }
 
-/*
- * Symptom: lengths of a prompt's parts that wrapped around, so that a long
- * prompt counted as a short one. Sequence: a caller gave parts of "-1" or of
- * billions of tokens. Cause: a sign was read as a huge count, and counts were
- * added beyond 32 bits. Settled by: a count begins with a digit, and all parts
- * together have at most G_MAXINT32 tokens.
- */
-START_TEST(lengths_of_parts_can_be_added)
+/* A long prompt counted as a short one when a caller gave parts of "-1" or of
+ * billions of tokens: a sign was read as a huge count, and the sum overflowed
+ * 32 bits. A count must begin with a digit, and the sum is clamped to
+ * G_MAXINT32. */
+START_TEST(prefix_part_lengths_do_not_overflow)
 {
     static const char *const bad[] = {"a:-1", "a:", "-a:1", "a:1,b:+2"};
     for (gsize i = 0; i < G_N_ELEMENTS(bad); i++) {
@@ -306,9 +303,9 @@
 }
 END_TEST
 
-START_TEST(numbers_beyond_any_use_are_bounded)
+START_TEST(huge_numbers_are_clamped)
 {
-    GBytes *value = bytes(
+    GBytes *value = make_bytes(
         "{\"version\":1,\"routes\":[{\"name\":\"r\",\"hostname\":\"h\","
         "\"timeout_ms\":1e300,\"priority\":4294967296,\"traffic_split\":["
         "{\"service\":\"s\",\"weight\":4294967296},"
@@ -327,15 +324,12 @@
 }
 END_TEST
 
-/*
- * Symptom: a route whose split was written as shares of one had no target.
- * Sequence: a configuration with the weights 0.9 and 0.1, and with figures
- * below one. Cause: fractions were left out, so that nothing remained. Settled
- * by: shares keep their proportion, and what is not nothing is at least one.
- */
-START_TEST(fractions_of_a_configuration_are_not_lost)
+/* A route with the weights 0.9 and 0.1 had no target, because fractions were
+ * truncated to 0. Weights keep their proportion, and other numbers above 0 are
+ * at least 1. */
+START_TEST(fractions_in_a_configuration_are_not_lost)
 {
-    GBytes *value = bytes(
+    GBytes *value = make_bytes(
         "{\"version\":1,\"routes\":[{\"name\":\"r\",\"hostname\":\"h\","
         "\"timeout_ms\":0.5,\"target_latency_ms\":150.7,\"priority\":0.0,"
         "\"traffic_split\":[{\"service\":\"s\",\"weight\":0.9},"
@@ -356,16 +350,16 @@
 }
 END_TEST
 
-START_TEST(limits_of_customers_are_read)
+START_TEST(customer_limits_are_decoded)
 {
-    GBytes *value =
-        bytes("{\"version\":9,\"routes\":[],\"tenants\":["
-              "{\"name\":\"a\",\"api_keys\":[\"a\"],\"unit\":\"tokens\","
-              "\"rate_per_s\":252672,\"burst\":1000.5,\"plain_tokens\":200},"
-              "{\"name\":\"b\",\"api_keys\":[\"b\"],\"rate_per_s\":0.25},"
-              "{\"name\":\"c\",\"api_keys\":[\"c\"],\"rate_per_s\":-1,"
-              "\"burst\":\"x\"},"
-              "{\"name\":\"d\",\"api_keys\":[\"d\"],\"unit\":\"tokens\"}]}");
+    GBytes *value = make_bytes(
+        "{\"version\":9,\"routes\":[],\"tenants\":["
+        "{\"name\":\"a\",\"api_keys\":[\"a\"],\"unit\":\"tokens\","
+        "\"rate_per_s\":252672,\"burst\":1000.5,\"plain_tokens\":200},"
+        "{\"name\":\"b\",\"api_keys\":[\"b\"],\"rate_per_s\":0.25},"
+        "{\"name\":\"c\",\"api_keys\":[\"c\"],\"rate_per_s\":-1,"
+        "\"burst\":\"x\"},"
+        "{\"name\":\"d\",\"api_keys\":[\"d\"],\"unit\":\"tokens\"}]}");
     RouteConfig_t *config = Fleet_form.decode_config(value, NULL);
     const RouteCustomer_t *a = RouteConfig_findCustomer(config, "a");
     ck_assert(a->by_tokens);
@@ -387,11 +381,10 @@
 }
 END_TEST
 
-TESTING_MAIN("Fleet", limits_of_customers_are_read, a_configuration_is_read,
-             a_bad_configuration_is_a_typed_error,
-             an_entry_of_the_list_is_read,
-             an_entry_of_another_writer_names_no_upstream,
-             framed_records_come_back, only_a_mark_proves_that_nothing_ran,
-             callers_cannot_set_what_is_ours, lengths_of_parts_can_be_added,
-             numbers_beyond_any_use_are_bounded,
-             fractions_of_a_configuration_are_not_lost)
+TESTING_MAIN("Fleet", customer_limits_are_decoded, configuration_is_decoded,
+             invalid_configuration_is_a_typed_error, list_entry_is_decoded,
+             malformed_list_entry_is_rejected, framed_records_are_restored,
+             only_explicit_marks_count_as_not_run,
+             callers_cannot_set_internal_headers,
+             prefix_part_lengths_do_not_overflow, huge_numbers_are_clamped,
+             fractions_in_a_configuration_are_not_lost)
--- a/tests/test_ListCopy.c
+++ b/tests/test_ListCopy.c
@@ -5,15 +5,15 @@
 #include "ListCopy.h"
 
 #define EPOCH 3
-/* As many bytes as the records of these tests have: a page of all. */
-#define ALL 1000
-/* More changes than are kept. */
-#define TOO_MANY 5000
+/* More bytes than the records of these tests have: one page for all. */
+#define ALL_BYTES 1000
+/* More changes than the log of changes holds. */
+#define CHANGES_BEYOND_LOG 5000
 
 static ListCopy_t *copy;
 
 static KeyedRecord_t *
-make(const char *key, const char *value, guint64 offset)
+make_record(const char *key, const char *value, guint64 offset)
 {
     GBytes *bytes = value ? g_bytes_new(value, strlen(value)) : NULL;
     StorePosition_t position = {EPOCH, offset};
@@ -21,44 +21,46 @@
 }
 
 static void
-put(const char *key, const char *value, guint64 offset)
+put_record(const char *key, const char *value, guint64 offset)
 {
-    KeyedRecord_t *record = make(key, value, offset);
+    KeyedRecord_t *record = make_record(key, value, offset);
     ListCopy_put(copy, record);
     KeyedRecord_free(record);
 }
 
 static void
-change(const char *key, const char *value, guint64 offset)
+apply_change(const char *key, const char *value, guint64 offset)
 {
-    KeyedRecord_t *record = make(key, value, offset);
+    KeyedRecord_t *record = make_record(key, value, offset);
     ListCopy_put(copy, record);
     ListCopy_noteChange(copy, record);
     KeyedRecord_free(record);
 }
 
 static void
-begin(void)
+setup(void)
 {
     copy = ListCopy_create();
-    put("a", "1", 1);
-    put("b", "1", 2);
-    put("c", "1", 3);
-    ListCopy_begin(copy, (StorePosition_t){EPOCH, 10});
+    put_record("a", "1", 1);
+    put_record("b", "1", 2);
+    put_record("c", "1", 3);
+    ListCopy_startChanges(copy, (StorePosition_t){EPOCH, 10});
 }
 
-/* What follows a place, as "key=value key- ", or NULL where it is refused. */
+/* Returns the page after a cursor as "key=value key- ", or NULL if the cursor
+ * is refused. */
 static char *
-read_after(const char *after, guint64 from, gsize most, gboolean *more)
+read_after(const char *after, guint64 from, gsize max_bytes, gboolean *more)
 {
-    ListPlace_t place = {after, {EPOCH, from}};
-    ListPart_t part = {{0}};
-    if (!ListCopy_read(copy, &place, most, &part)) {
+    ListCursor_t cursor = {after, {EPOCH, from}};
+    ListPage_t list_page = {{0}};
+    if (!ListCopy_readPage(copy, &cursor, max_bytes, &list_page)) {
         return NULL;
     }
     GString *text = g_string_new(NULL);
-    for (guint i = 0; i < part.page.records->len; i++) {
-        const KeyedRecord_t *record = g_ptr_array_index(part.page.records, i);
+    for (guint i = 0; i < list_page.page.records->len; i++) {
+        const KeyedRecord_t *record =
+            g_ptr_array_index(list_page.page.records, i);
         g_string_append(text, record->key->str);
         if (record->value) {
             gsize length = 0;
@@ -69,83 +71,84 @@
             g_string_append(text, "- ");
         }
     }
-    *more = part.page.more;
-    g_ptr_array_unref(part.page.records);
+    *more = list_page.page.more;
+    g_ptr_array_unref(list_page.page.records);
     return g_string_free(text, FALSE);
 }
 
 static void
-assert_read(const char *after, guint64 from, gsize most, const char *expected,
-            gboolean expected_more)
+assert_read(const char *after, guint64 from, gsize max_bytes,
+            const char *expected, gboolean expected_more)
 {
     gboolean more = FALSE;
-    g_autofree char *text = read_after(after, from, most, &more);
+    g_autofree char *text = read_after(after, from, max_bytes, &more);
     ck_assert_ptr_nonnull(text);
     ck_assert_str_eq(text, expected);
     ck_assert_int_eq(more, expected_more);
 }
 
-START_TEST(pages_follow_each_other_in_the_order_of_keys)
+START_TEST(pages_are_in_the_order_of_keys)
 {
-    begin();
+    setup();
     assert_read("", 0, 1, "a=1 ", TRUE);
     assert_read("a", 10, 1, "b=1 ", TRUE);
     assert_read("b", 10, 1, "c=1 ", FALSE);
     assert_read("c", 10, 1, "", FALSE);
-    assert_read("", 0, ALL, "a=1 b=1 c=1 ", FALSE);
+    assert_read("", 0, ALL_BYTES, "a=1 b=1 c=1 ", FALSE);
     ListCopy_destroy(copy);
 }
 END_TEST
 
-/* Lists that took seconds missed what changed meanwhile. */
-START_TEST(a_page_tells_what_changed_before_it)
+/* A list that took seconds to read missed the changes made meanwhile. */
+START_TEST(page_has_changes_of_earlier_keys)
 {
-    begin();
-    change("a", "2", 11);
-    change("b", NULL, 12);
-    change("c", "2", 13);
-    assert_read("b", 10, ALL, "a=2 b- c=2 ", FALSE);
-    assert_read("b", 12, ALL, "b- c=2 ", FALSE);
-    assert_read("", 0, ALL, "a=2 c=2 ", FALSE);
+    setup();
+    apply_change("a", "2", 11);
+    apply_change("b", NULL, 12);
+    apply_change("c", "2", 13);
+    assert_read("b", 10, ALL_BYTES, "a=2 b- c=2 ", FALSE);
+    assert_read("b", 12, ALL_BYTES, "b- c=2 ", FALSE);
+    assert_read("", 0, ALL_BYTES, "a=2 c=2 ", FALSE);
     ListCopy_destroy(copy);
 }
 END_TEST
 
-START_TEST(a_place_before_the_changes_that_are_kept_is_refused)
+START_TEST(cursor_older_than_the_change_log_is_refused)
 {
     gboolean more = FALSE;
-    begin();
-    ck_assert_ptr_null(read_after("a", 9, ALL, &more));
-    for (guint64 i = 0; i < TOO_MANY; i++) {
-        change("a", "2", 10 + i);
+    setup();
+    ck_assert_ptr_null(read_after("a", 9, ALL_BYTES, &more));
+    for (guint64 i = 0; i < CHANGES_BEYOND_LOG; i++) {
+        apply_change("a", "2", 10 + i);
     }
-    ck_assert_ptr_null(read_after("a", 10, ALL, &more));
-    assert_read("b", 10 + TOO_MANY, ALL, "c=1 ", FALSE);
+    ck_assert_ptr_null(read_after("a", 10, ALL_BYTES, &more));
+    assert_read("b", 10 + CHANGES_BEYOND_LOG, ALL_BYTES, "c=1 ", FALSE);
     ListCopy_destroy(copy);
 }
 END_TEST
 
-START_TEST(an_earlier_epoch_is_refused)
+START_TEST(cursor_of_an_earlier_epoch_is_refused)
 {
-    ListPlace_t place = {"a", {EPOCH - 1, 100}};
-    ListPart_t part = {{0}};
-    begin();
-    ck_assert(!ListCopy_read(copy, &place, ALL, &part));
+    ListCursor_t cursor = {"a", {EPOCH - 1, 100}};
+    ListPage_t list_page = {{0}};
+    setup();
+    ck_assert(!ListCopy_readPage(copy, &cursor, ALL_BYTES, &list_page));
     ListCopy_destroy(copy);
 }
 END_TEST
 
-START_TEST(a_copy_that_is_not_whole_is_not_read)
+START_TEST(incomplete_copy_is_not_read)
 {
     gboolean more = FALSE;
     copy = ListCopy_create();
-    put("a", "1", 1);
-    ck_assert_ptr_null(read_after("", 0, ALL, &more));
+    put_record("a", "1", 1);
+    ck_assert_ptr_null(read_after("", 0, ALL_BYTES, &more));
     ListCopy_destroy(copy);
 }
 END_TEST
 
-TESTING_MAIN("ListCopy", pages_follow_each_other_in_the_order_of_keys,
-             a_page_tells_what_changed_before_it,
-             a_place_before_the_changes_that_are_kept_is_refused,
-             an_earlier_epoch_is_refused, a_copy_that_is_not_whole_is_not_read)
+TESTING_MAIN("ListCopy", pages_are_in_the_order_of_keys,
+             page_has_changes_of_earlier_keys,
+             cursor_older_than_the_change_log_is_refused,
+             cursor_of_an_earlier_epoch_is_refused,
+             incomplete_copy_is_not_read)
--- a/tests/test_ListExchange.c
+++ b/tests/test_ListExchange.c
@@ -8,74 +8,76 @@
 #include "FakeRouters.h"
 #include "UpstreamListing.h"
 
-/* A list of so many pages. */
+/* Size of the list. */
 #define PAGES 40
 #define PAGE_ENTRIES 10
 #define ENTRIES (PAGES * PAGE_ENTRIES)
-/* What the store takes for a page, one after the other. */
+/* Time that the store takes for a page; it serves one call at a time. */
 #define PAGE_US 4000
-/* How long a router waits for an answer; the store works on for it. */
+/* How long a router waits for an answer. The store still serves the call after
+ * that. */
 #define ANSWER_US 200000
 #define POLL_MS 3000
-/* Bytes of a value, so that all entries are too long to be told over every
- * link. */
+/* Size of a value: all entries together are too long for a broadcast. */
 #define VALUE_BYTES 1000
 #define RETURN_MS 600000
-/* Routers are linked with a few others, and each knows few seeds. */
+/* Links and seeds of each router: not a full mesh. */
 #define MESH 4
 #define SEEDS 3
 #define GOSSIP_BUDGET 20000
 #define BURST_ROUTERS 32
-/* Longer than a router waits for a peer's answer. */
+/* Delay of a slow peer: longer than a router waits for a peer's answer. */
 #define SLOW_US 700000
-/* Times that a router may be told of an entry, at the mean. */
-#define TOLD_MOST 1
-/* Long enough for several calls that fail, and the longest pause between two
- * that are not bound to turns. */
+/* Mean number of times that a router may receive an entry. */
+#define COPIES_MAX 1
+/* Long enough for several failed calls, and the longest pause between two
+ * calls that do not wait for a time slot. */
 #define OUTAGE_MS 8000
-#define PAUSE_MOST_MS 1600
-/* By then they know each other and have read the end of the list once. */
+#define PAUSE_MAX_MS 1600
+/* By then the routers know each other and have read the end of the list
+ * once. */
 #define SETTLED_MS 2000
-/* Routers of a hall that may read the whole list, however many there are. */
-#define READERS_MOST 6
+/* Routers of a hall that may read the complete list, for any number of
+ * routers. */
+#define READERS_MAX 6
 
 typedef struct {
     RecordSource_t super;
-    guint which;
+    guint idx;
     UpstreamListing_t *listing;
     UpstreamSet_t *upstreams;
     StoreEpoch_t *epoch;
-    gboolean refused; /* the store turns it away */
-    guint answered;   /* its calls that the store has answered */
+    gboolean rejected; /* the store rejects its calls */
+    guint answered;    /* number of its calls that the store has answered */
 } Router_t;
 
 typedef struct {
-    KeyedDone_t done;
+    KeyedPageDone_t done;
     void *data;
     struct event *timer;
-    guint from; /* first entry of a page */
-    gboolean lists;
+    guint from; /* first entry of the page */
+    gboolean is_list;
     gboolean fails;
 } Call_t;
 
 typedef struct {
     Router_t *router;
-    Member_t *asker;
+    Member_t *requester;
     guint64 from;
     struct event *timer;
-} Delayed_t;
+} DelayedAnswer_t;
 
 static FakeRouters_t routers;
-static Router_t list[FAKE_ROUTERS_MAX];
+static Router_t nodes[FAKE_ROUTERS_MAX];
 static HallRegions_t *regions;
 static GPtrArray *calls;
 static GPtrArray *delayed_answers;
-static gint64 answer_after_us;
-static gint64 busy_until_us;
-static guint pages_asked;
-static guint reads_asked;
-static guint records_told; /* by peers, of what they were asked for */
-static guint published;    /* entries that the store has */
+static gint64 answer_delay_us;
+static gint64 store_busy_until_us;
+static guint pages_requested;
+static guint reads_requested;
+static guint records_sent; /* by peers */
+static guint published;    /* number of entries in the store */
 
 static gboolean
 decode(GBytes *value, ListedUpstream_t *out, GError **error)
@@ -103,12 +105,12 @@
                                            g_bytes_new(value, sizeof(value)),
                                            position));
     }
-    page.more = call->lists && end < published;
+    page.more = call->is_list && end < published;
     return page;
 }
 
 static void
-on_timer(evutil_socket_t fd, short what, void *data)
+on_call_done(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
@@ -133,33 +135,33 @@
 }
 
 static void
-arm(Call_t *call, gint64 after_us)
+arm_call(Call_t *call, gint64 after_us)
 {
     struct timeval after = {after_us / G_USEC_PER_SEC,
                             after_us % G_USEC_PER_SEC};
-    call->timer = evtimer_new(routers.base, on_timer, call);
+    call->timer = evtimer_new(routers.base, on_call_done, call);
     evtimer_add(call->timer, &after);
     g_ptr_array_add(calls, call);
 }
 
-/* The store works on for who has given up. */
+/* A call that times out still occupies the store. */
 static void
-serve(Router_t *router, Call_t *call)
+queue_call(Router_t *router, Call_t *call)
 {
     gint64 now_us = g_get_monotonic_time();
-    if (router->refused) {
+    if (router->rejected) {
         call->fails = TRUE;
-        arm(call, PAGE_US);
+        arm_call(call, PAGE_US);
         return;
     }
     router->answered++;
-    busy_until_us = MAX(busy_until_us, now_us) + PAGE_US;
-    call->fails = busy_until_us - now_us > ANSWER_US;
-    arm(call, call->fails ? ANSWER_US : busy_until_us - now_us);
+    store_busy_until_us = MAX(store_busy_until_us, now_us) + PAGE_US;
+    call->fails = store_busy_until_us - now_us > ANSWER_US;
+    arm_call(call, call->fails ? ANSWER_US : store_busy_until_us - now_us);
 }
 
 static Call_t *
-make_call(guint from, KeyedDone_t done, void *data)
+make_call(guint from, KeyedPageDone_t done, void *data)
 {
     Call_t *call = g_new0(Call_t, 1);
     call->done = done;
@@ -169,51 +171,51 @@
 }
 
 static void
-list_page(RecordSource_t *super, const char *topic, const char *after,
-          KeyedDone_t done, void *data)
+serve_list(RecordSource_t *super, const char *topic, const char *after,
+           KeyedPageDone_t done, void *data)
 {
     (void)topic;
     guint from = after ? (guint)atoi(after + 1) + 1 : 0;
     Call_t *call = make_call(from, done, data);
-    call->lists = TRUE;
-    pages_asked++;
-    serve((Router_t *)super, call);
+    call->is_list = TRUE;
+    pages_requested++;
+    queue_call((Router_t *)super, call);
 }
 
 static void
-read_from(RecordSource_t *super, const char *topic, guint64 from,
-          gint64 wait_ms, KeyedDone_t done, void *data)
+serve_read(RecordSource_t *super, const char *topic, guint64 from,
+           gint64 wait_ms, KeyedPageDone_t done, void *data)
 {
     (void)topic;
     (void)wait_ms;
-    reads_asked++;
-    serve((Router_t *)super, make_call((guint)from, done, data));
+    reads_requested++;
+    queue_call((Router_t *)super, make_call((guint)from, done, data));
 }
 
-static const RecordSourceClass_t class = {.list = list_page,
-                                          .read = read_from};
+static const RecordSourceClass_t class = {.list = serve_list,
+                                          .read = serve_read};
 
 static void
-on_delayed(evutil_socket_t fd, short what, void *data)
+on_answer_due(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
-    const Delayed_t *delayed = data;
+    const DelayedAnswer_t *delayed = data;
     Wt__TopicAsk ask = WT__TOPIC_ASK__INIT;
     ask.from = delayed->from;
-    UpstreamListing_answer(delayed->router->listing, delayed->asker, &ask);
+    UpstreamListing_answer(delayed->router->listing, delayed->requester, &ask);
 }
 
-/* As over a link that has much to carry. */
+/* Answers with a delay, as over a busy link. */
 static void
-answer_later(Router_t *router, Member_t *asker, const Wt__TopicAsk *ask)
+delay_answer(Router_t *router, Member_t *requester, const Wt__TopicAsk *ask)
 {
-    Delayed_t *delayed = g_new0(Delayed_t, 1);
-    struct timeval after = {0, (suseconds_t)answer_after_us};
+    DelayedAnswer_t *delayed = g_new0(DelayedAnswer_t, 1);
+    struct timeval after = {0, (suseconds_t)answer_delay_us};
     delayed->router = router;
-    delayed->asker = asker;
+    delayed->requester = requester;
     delayed->from = ask->from;
-    delayed->timer = evtimer_new(routers.base, on_delayed, delayed);
+    delayed->timer = evtimer_new(routers.base, on_answer_due, delayed);
     evtimer_add(delayed->timer, &after);
     g_ptr_array_add(delayed_answers, delayed);
 }
@@ -221,13 +223,13 @@
 static void
 free_delayed(gpointer data)
 {
-    Delayed_t *delayed = data;
+    DelayedAnswer_t *delayed = data;
     event_free(delayed->timer);
     g_free(delayed);
 }
 
 static void
-take(void *taker, Member_t *from, const Wt__PeerMessage *message)
+receive(void *taker, Member_t *from, const Wt__PeerMessage *message)
 {
     Router_t *this = taker;
     switch (message->body_case) {
@@ -238,10 +240,10 @@
         UpstreamListing_takePage(this->listing, from, message->list_page);
         break;
     case WT__PEER_MESSAGE__BODY_TOPIC_ASK:
-        answer_later(this, from, message->topic_ask);
+        delay_answer(this, from, message->topic_ask);
         break;
     case WT__PEER_MESSAGE__BODY_TOPIC_PART:
-        records_told += message->topic_part->n_records;
+        records_sent += message->topic_part->n_records;
         UpstreamListing_take(this->listing, from, message->topic_part);
         break;
     default:
@@ -250,10 +252,10 @@
 }
 
 static void
-start(guint which, gboolean refused)
+start_router(guint idx, gboolean rejected)
 {
-    Router_t *this = &list[which];
-    *this = (Router_t){.super = {.class = &class}, .refused = refused};
+    Router_t *this = &nodes[idx];
+    *this = (Router_t){.super = {.class = &class}, .rejected = rejected};
     this->upstreams = UpstreamSet_create(routers.base, 1);
     this->epoch = StoreEpoch_create(NULL);
     UpstreamListingSpec_t spec = {
@@ -261,42 +263,42 @@
         .topic = "t",
         .decode = decode,
         .upstreams = this->upstreams,
-        .membership = routers.list[which].membership,
+        .membership = routers.list[idx].membership,
         .epoch = this->epoch,
         .regions = regions,
         .poll_ms = POLL_MS,
         .return_ms = RETURN_MS,
     };
     this->listing = UpstreamListing_create(routers.base, &spec);
-    routers.list[which].take = take;
-    routers.list[which].taker = this;
+    routers.list[idx].take = receive;
+    routers.list[idx].taker = this;
 }
 
-/* The first of so many are turned away by the store. */
+/* The store rejects the calls of the first @rejected routers. */
 static void
-begin(guint count, guint refused)
+setup(guint count, guint rejected)
 {
     calls = g_ptr_array_new_with_free_func(free_call);
     delayed_answers = g_ptr_array_new_with_free_func(free_delayed);
     regions = HallRegions_create(NULL, NULL, "r");
-    busy_until_us = 0;
-    pages_asked = 0;
-    reads_asked = 0;
+    store_busy_until_us = 0;
+    pages_requested = 0;
+    reads_requested = 0;
     published = ENTRIES;
     FakeRouters_start(&routers, count, MESH, SEEDS, GOSSIP_BUDGET);
     for (guint i = 0; i < count; i++) {
-        start(i, i < refused);
+        start_router(i, i < rejected);
     }
 }
 
 static void
-end(void)
+teardown(void)
 {
     for (guint i = 0; i < routers.count; i++) {
         routers.list[i].take = NULL;
-        UpstreamListing_destroy(list[i].listing);
-        UpstreamSet_destroy(list[i].upstreams);
-        StoreEpoch_destroy(list[i].epoch);
+        UpstreamListing_destroy(nodes[i].listing);
+        UpstreamSet_destroy(nodes[i].upstreams);
+        StoreEpoch_destroy(nodes[i].epoch);
     }
     g_ptr_array_unref(calls);
     g_ptr_array_unref(delayed_answers);
@@ -305,44 +307,44 @@
 }
 
 static gboolean
-all_know_all(const FakeRouters_t *all)
+all_have_the_list(const FakeRouters_t *all)
 {
     for (guint i = 0; i < all->count; i++) {
-        if (UpstreamSet_all(list[i].upstreams)->len < ENTRIES) {
+        if (UpstreamSet_all(nodes[i].upstreams)->len < ENTRIES) {
             return FALSE;
         }
     }
     return TRUE;
 }
 
-/* Returns the pages that the store was asked for. */
+/* Returns the number of pages that were requested from the store. */
 static guint
-play_start(guint count)
+run_start(guint count)
 {
-    begin(count, 0);
-    FakeRouters_await(&routers, all_know_all);
-    guint asked = pages_asked;
-    end();
-    return asked;
+    setup(count, 0);
+    FakeRouters_await(&routers, all_have_the_list);
+    guint requested = pages_requested;
+    teardown();
+    return requested;
 }
 
-/* All routers started and none was ready: each read the whole list, the store
- * fell behind, answers came after their time, and all asked again for good. */
-START_TEST(a_start_asks_the_store_for_a_list_a_few_times_however_many_routers)
+/* When all routers started together, none became ready: each read the complete
+ * list, the store fell behind, calls timed out and were repeated forever. */
+START_TEST(few_routers_read_the_list_from_the_store_at_a_start)
 {
     const guint counts[] = {12, 24, 48};
     for (guint i = 0; i < G_N_ELEMENTS(counts); i++) {
-        guint asked = play_start(counts[i]);
-        ck_assert_uint_le(asked, counts[i] + READERS_MOST * PAGES);
+        guint requested = run_start(counts[i]);
+        ck_assert_uint_le(requested, counts[i] + READERS_MAX * PAGES);
     }
 }
 END_TEST
 
 static gboolean
-all_know_first(const FakeRouters_t *all)
+all_have_the_first_page(const FakeRouters_t *all)
 {
     for (guint i = 0; i < all->count; i++) {
-        if (UpstreamSet_all(list[i].upstreams)->len < PAGE_ENTRIES) {
+        if (UpstreamSet_all(nodes[i].upstreams)->len < PAGE_ENTRIES) {
             return FALSE;
         }
     }
@@ -350,51 +352,51 @@
 }
 
 static void
-play_burst(guint count)
+run_burst(guint count)
 {
-    begin(count, 0);
+    setup(count, 0);
     published = PAGE_ENTRIES;
-    FakeRouters_await(&routers, all_know_first);
+    FakeRouters_await(&routers, all_have_the_first_page);
     FakeRouters_run(&routers, SETTLED_MS);
-    reads_asked = 0;
-    records_told = 0;
+    reads_requested = 0;
+    records_sent = 0;
     published = ENTRIES;
-    FakeRouters_await(&routers, all_know_all);
+    FakeRouters_await(&routers, all_have_the_list);
     FakeRouters_run(&routers, SETTLED_MS);
-    end();
+    teardown();
 }
 
-/* Upstreams that start with the routers come to the list within seconds: that
- * was more than is told over each link, so that every router read all of it
- * from the store, with all heartbeats, for as long as the day lasted. */
-START_TEST(what_comes_at_once_is_read_by_few_and_asked_for_by_the_rest)
+/* Upstreams that start together with the routers are listed within seconds.
+ * The updates were too long for a broadcast, so every router read them from
+ * the store, together with all heartbeats, and never stopped. */
+START_TEST(burst_of_entries_is_read_from_the_store_by_few_routers)
 {
-    answer_after_us = 0;
-    play_burst(BURST_ROUTERS);
-    ck_assert_uint_le(reads_asked, READERS_MOST * PAGES);
+    answer_delay_us = 0;
+    run_burst(BURST_ROUTERS);
+    ck_assert_uint_le(reads_requested, READERS_MAX * PAGES);
 }
 END_TEST
 
-/* Who did not get an answer soon asked another one, went on with both, and
- * each further one that was late made one more. */
-START_TEST(what_is_missing_is_told_about_once_also_by_slow_peers)
+/* A router whose peer was late queried another peer and continued with both,
+ * so that each late answer added one more sequence of queries. */
+START_TEST(slow_peers_send_missing_records_once)
 {
-    answer_after_us = SLOW_US;
-    play_burst(BURST_ROUTERS);
-    ck_assert_uint_le(records_told, TOLD_MOST * BURST_ROUTERS * ENTRIES);
+    answer_delay_us = SLOW_US;
+    run_burst(BURST_ROUTERS);
+    ck_assert_uint_le(records_sent, COPIES_MAX * BURST_ROUTERS * ENTRIES);
 }
 END_TEST
 
-START_TEST(routers_that_the_store_turns_away_get_the_list_from_peers)
+START_TEST(routers_rejected_by_the_store_get_the_list_from_peers)
 {
-    begin(12, 6);
-    FakeRouters_await(&routers, all_know_all);
-    end();
+    setup(12, 6);
+    FakeRouters_await(&routers, all_have_the_list);
+    teardown();
 }
 END_TEST
 
 static void
-take_nothing(void *taker, Member_t *from, const Wt__PeerMessage *message)
+drop_message(void *taker, Member_t *from, const Wt__PeerMessage *message)
 {
     (void)taker;
     (void)from;
@@ -402,50 +404,50 @@
 }
 
 static void
-cut_off(gboolean refused)
+isolate_routers(gboolean rejected)
 {
     for (guint i = 0; i < routers.count; i++) {
-        list[i].refused = refused;
-        list[i].answered = 0;
-        routers.list[i].take = take_nothing;
+        nodes[i].rejected = rejected;
+        nodes[i].answered = 0;
+        routers.list[i].take = drop_message;
     }
 }
 
-/* Requests reached an upstream 14 s after it had left: a router that the store
- * had not answered called it again 21 s later, and no peer could tell it. */
-START_TEST(a_call_that_failed_is_repeated_within_the_time_of_a_leaving)
+/* Requests reached an upstream 14 s after it had left: a router whose call to
+ * the store failed retried it only 21 s later, and no peer could send it the
+ * removal. */
+START_TEST(failed_call_is_retried_within_the_leaving_time)
 {
-    begin(12, 0);
-    FakeRouters_await(&routers, all_know_all);
+    setup(12, 0);
+    FakeRouters_await(&routers, all_have_the_list);
     FakeRouters_run(&routers, SETTLED_MS);
-    cut_off(TRUE);
+    isolate_routers(TRUE);
     FakeRouters_run(&routers, OUTAGE_MS);
-    cut_off(FALSE);
-    FakeRouters_run(&routers, POLL_MS + PAUSE_MOST_MS);
+    isolate_routers(FALSE);
+    FakeRouters_run(&routers, POLL_MS + PAUSE_MAX_MS);
     for (guint i = 0; i < routers.count; i++) {
-        ck_assert_uint_gt(list[i].answered, 0);
+        ck_assert_uint_gt(nodes[i].answered, 0);
     }
-    end();
+    teardown();
 }
 END_TEST
 
-START_TEST(a_router_that_knows_a_part_serves)
+START_TEST(router_with_part_of_the_list_serves)
 {
-    begin(1, 0);
-    while (UpstreamSet_all(list[0].upstreams)->len == 0) {
+    setup(1, 0);
+    while (UpstreamSet_all(nodes[0].upstreams)->len == 0) {
         event_base_loop(routers.base, EVLOOP_ONCE);
     }
-    ck_assert_uint_lt(UpstreamSet_all(list[0].upstreams)->len, ENTRIES);
-    ck_assert(UpstreamListing_isKnown(list[0].listing));
-    end();
+    ck_assert_uint_lt(UpstreamSet_all(nodes[0].upstreams)->len, ENTRIES);
+    ck_assert(UpstreamListing_isKnown(nodes[0].listing));
+    teardown();
 }
 END_TEST
 
-TESTING_MAIN(
-    "ListExchange",
-    a_start_asks_the_store_for_a_list_a_few_times_however_many_routers,
-    what_comes_at_once_is_read_by_few_and_asked_for_by_the_rest,
-    what_is_missing_is_told_about_once_also_by_slow_peers,
-    routers_that_the_store_turns_away_get_the_list_from_peers,
-    a_call_that_failed_is_repeated_within_the_time_of_a_leaving,
-    a_router_that_knows_a_part_serves)
+TESTING_MAIN("ListExchange",
+             few_routers_read_the_list_from_the_store_at_a_start,
+             burst_of_entries_is_read_from_the_store_by_few_routers,
+             slow_peers_send_missing_records_once,
+             routers_rejected_by_the_store_get_the_list_from_peers,
+             failed_call_is_retried_within_the_leaving_time,
+             router_with_part_of_the_list_serves)
--- a/tests/test_RecordFollower.c
+++ b/tests/test_RecordFollower.c
@@ -8,16 +8,16 @@
 #include "FakeSource.h"
 #include "RecordFollower.h"
 
-/* Beyond any that a test waits for. */
+/* Longer than any test runs. */
 #define LONG_PAUSE_MS 3600000
 
 typedef struct {
-    GString *told;
+    GString *reported;
     guint64 current;
     gint64 current_at_ms;
     guint64 last_offset;
     guint lost;
-    guint regained;
+    guint restored;
 } Seen_t;
 
 static FakeSource_t source;
@@ -29,7 +29,7 @@
 {
     (void)owner;
     seen.last_offset = record->position.offset;
-    g_string_append_printf(seen.told, "%s%s ", record->key->str,
+    g_string_append_printf(seen.reported, "%s%s ", record->key->str,
                            record->value ? "" : "-");
 }
 
@@ -53,17 +53,17 @@
 on_regained(void *owner)
 {
     (void)owner;
-    seen.regained++;
+    seen.restored++;
 }
 
 static const RecordFollowerEvents_t events = {on_record, on_current, on_lost,
                                               on_regained};
 
 static RecordFollower_t *
-begin(void)
+setup(void)
 {
     memset(&seen, 0, sizeof(seen));
-    seen.told = g_string_new(NULL);
+    seen.reported = g_string_new(NULL);
     base = event_base_new();
     FakeSource_init(&source, base);
     RecordFollowerSpec_t spec = {.source = &source.super, .topic = "t"};
@@ -71,11 +71,11 @@
 }
 
 static void
-end(RecordFollower_t *follower)
+teardown(RecordFollower_t *follower)
 {
     RecordFollower_destroy(follower);
     event_base_free(base);
-    g_string_free(seen.told, TRUE);
+    g_string_free(seen.reported, TRUE);
 }
 
 /* Records as "key:offset", or "key-:offset" for a removal. */
@@ -83,12 +83,12 @@
 make_page(guint64 page_end, gboolean more, const char *text)
 {
     KeyedPage_t page = FakePage_make(page_end, more);
-    g_auto(GStrv) words = g_strsplit(text, " ", -1);
-    for (guint i = 0; words[i] && *words[i]; i++) {
-        const char *colon = strchr(words[i], ':');
+    g_auto(GStrv) entries = g_strsplit(text, " ", -1);
+    for (guint i = 0; entries[i] && *entries[i]; i++) {
+        const char *colon = strchr(entries[i], ':');
         gboolean removed = colon[-1] == '-';
-        gssize length = colon - words[i] - (removed ? 1 : 0);
-        g_autofree char *key = g_strndup(words[i], (gsize)length);
+        gssize length = colon - entries[i] - (removed ? 1 : 0);
+        g_autofree char *key = g_strndup(entries[i], (gsize)length);
         FakePage_add(&page, key, removed ? NULL : "v",
                      g_ascii_strtoull(colon + 1, NULL, 10));
     }
@@ -96,278 +96,278 @@
 }
 
 static void
-answer(guint64 page_end, gboolean more, const char *text)
+answer_call(guint64 page_end, gboolean more, const char *text)
 {
     KeyedPage_t page = make_page(page_end, more, text);
     FakeSource_answer(&source, &page);
 }
 
-START_TEST(it_lists_and_reads_on_from_the_first_page)
+START_TEST(reads_on_from_the_end_at_the_first_list_page)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, TRUE, "a:3");
-    answer(14, FALSE, "b:12");
+    RecordFollower_t *follower = setup();
+    answer_call(10, TRUE, "a:3");
+    answer_call(14, FALSE, "b:12");
     FakeSource_await(&source);
     ck_assert_uint_eq(source.read_from, 10);
-    answer(14, FALSE, "c:10 b:11 b:12 a-:13");
-    ck_assert_str_eq(seen.told->str, "a b c a- ");
+    answer_call(14, FALSE, "c:10 b:11 b:12 a-:13");
+    ck_assert_str_eq(seen.reported->str, "a b c a- ");
     ck_assert_uint_eq(seen.current, 14);
-    end(follower);
+    teardown(follower);
 }
 END_TEST
 
 START_TEST(not_current_before_the_end_is_read)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, "a:3");
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, "a:3");
     ck_assert_uint_eq(seen.current, 10);
-    answer(20, FALSE, "a:10 a:11");
+    answer_call(20, FALSE, "a:10 a:11");
     ck_assert_uint_eq(seen.current, 10);
     FakeSource_await(&source);
     ck_assert_uint_eq(source.read_from, 12);
-    end(follower);
+    teardown(follower);
 }
 END_TEST
 
-START_TEST(expired_records_are_listed_anew_and_removals_told)
+START_TEST(expired_records_are_listed_again_and_removals_reported)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, "a:3 b:4");
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, "a:3 b:4");
     FakeSource_fail(&source, WT_ERROR_TRUNCATED);
     ck_assert_uint_eq(RecordFollower_position(follower).offset, 0);
-    answer(90, FALSE, "b:4 c:80");
-    ck_assert_str_eq(seen.told->str, "a b c a- ");
+    answer_call(90, FALSE, "b:4 c:80");
+    ck_assert_str_eq(seen.reported->str, "a b c a- ");
     ck_assert_uint_eq(RecordFollower_position(follower).offset, 90);
     ck_assert_uint_eq(seen.lost, 0);
-    end(follower);
+    teardown(follower);
 }
 END_TEST
 
-START_TEST(an_outage_is_told_once_and_its_end)
+START_TEST(outage_and_its_end_are_reported_once)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, "");
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, "");
     FakeSource_fail(&source, WT_ERROR_CONNECT);
     FakeSource_fail(&source, WT_ERROR_REFUSED);
     ck_assert(RecordFollower_isLost(follower));
     ck_assert_uint_eq(seen.lost, 1);
-    answer(10, FALSE, "");
+    answer_call(10, FALSE, "");
     ck_assert(!RecordFollower_isLost(follower));
-    ck_assert_uint_eq(seen.regained, 1);
-    end(follower);
+    ck_assert_uint_eq(seen.restored, 1);
+    teardown(follower);
 }
 END_TEST
 
-/* From the beginning of the list; all of it is one page. */
+/* Applies a peer's list that has one page. */
 static gboolean
-feed_list(RecordFollower_t *follower, guint64 page_end, const char *text)
+apply_list(RecordFollower_t *follower, guint64 page_end, const char *text)
 {
-    ListPlace_t place = {.after = ""};
-    ListPart_t part = {.page = make_page(page_end, FALSE, text),
-                       .reached = "z"};
-    gboolean taken =
-        RecordFollower_feedList(follower, &place, &part, Clock_nowMs());
-    g_ptr_array_unref(part.page.records);
-    return taken;
+    ListCursor_t place = {.after = ""};
+    ListPage_t list_page = {.page = make_page(page_end, FALSE, text),
+                            .reached = "z"};
+    gboolean applied = RecordFollower_applyPeerListPage(
+        follower, &place, &list_page, Clock_nowMs());
+    g_ptr_array_unref(list_page.page.records);
+    return applied;
 }
 
-/* Requests reached an upstream that had left 15 s before: a router that listed
- * anew took the list of a peer that had been cut off since. */
-START_TEST(a_peers_list_of_before_brings_nothing_back)
+/* Requests reached an upstream 15 s after it had left: a router that listed
+ * again applied the list of a peer that had been cut off before the upstream
+ * left. */
+START_TEST(outdated_list_of_a_peer_restores_no_removed_key)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, "a:3 b:4");
-    answer(12, FALSE, "a-:11");
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, "a:3 b:4");
+    answer_call(12, FALSE, "a-:11");
     FakeSource_fail(&source, WT_ERROR_TRUNCATED);
-    ck_assert(!feed_list(follower, 11, "a:3 b:4"));
+    ck_assert(!apply_list(follower, 11, "a:3 b:4"));
     ck_assert(RecordFollower_isListing(follower));
-    ck_assert(feed_list(follower, 12, "b:4 c:11"));
-    ck_assert_str_eq(seen.told->str, "a b a- c ");
-    end(follower);
+    ck_assert(apply_list(follower, 12, "b:4 c:11"));
+    ck_assert_str_eq(seen.reported->str, "a b a- c ");
+    teardown(follower);
 }
 END_TEST
 
-START_TEST(a_peers_list_from_before_the_first_page_is_not_taken)
+START_TEST(peer_list_older_than_the_first_page_is_not_applied)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, TRUE, "a:3");
-    ck_assert(!feed_list(follower, 9, "a:3 b:4"));
-    ck_assert(feed_list(follower, 10, "a:3 b:4"));
-    end(follower);
+    RecordFollower_t *follower = setup();
+    answer_call(10, TRUE, "a:3");
+    ck_assert(!apply_list(follower, 9, "a:3 b:4"));
+    ck_assert(apply_list(follower, 10, "a:3 b:4"));
+    teardown(follower);
 }
 END_TEST
 
 static gboolean
-feed(RecordFollower_t *follower, guint64 from, guint64 page_end,
-     const char *text, gint64 at_ms)
+apply_records(RecordFollower_t *follower, guint64 from, guint64 page_end,
+              const char *text, gint64 at_ms)
 {
     KeyedPage_t page = make_page(page_end, FALSE, text);
-    gboolean taken = RecordFollower_feed(follower, from, &page, at_ms);
+    gboolean applied =
+        RecordFollower_applyPeerRecords(follower, from, &page, at_ms);
     g_ptr_array_unref(page.records);
-    return taken;
+    return applied;
 }
 
-START_TEST(what_a_peer_has_read_is_not_read_again)
+START_TEST(records_from_a_peer_are_not_read_again)
 {
-    RecordFollower_t *follower = begin();
-    ck_assert(!feed(follower, 0, 10, "a:3", Clock_nowMs() + 1000));
-    answer(10, FALSE, "a:3");
+    RecordFollower_t *follower = setup();
+    ck_assert(!apply_records(follower, 0, 10, "a:3", Clock_nowMs() + 1000));
+    answer_call(10, FALSE, "a:3");
     gint64 at_ms = Clock_nowMs() + 1000;
-    ck_assert(feed(follower, 9, 20, "a:9 b:12 a-:13", at_ms));
-    ck_assert_str_eq(seen.told->str, "a b a- ");
+    ck_assert(apply_records(follower, 9, 20, "a:9 b:12 a-:13", at_ms));
+    ck_assert_str_eq(seen.reported->str, "a b a- ");
     ck_assert_uint_eq(seen.current, 20);
     ck_assert_int_eq(seen.current_at_ms, at_ms);
     FakeSource_await(&source);
     ck_assert_uint_eq(source.read_from, 20);
-    end(follower);
+    teardown(follower);
 }
 END_TEST
 
-START_TEST(a_peer_is_not_taken_where_records_are_missing)
+START_TEST(peer_records_after_a_gap_are_not_applied)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, "a:3");
-    ck_assert(!feed(follower, 11, 20, "b:12", Clock_nowMs() + 1000));
-    ck_assert(!feed(follower, 2, 9, "b:8", Clock_nowMs() + 1000));
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, "a:3");
+    ck_assert(!apply_records(follower, 11, 20, "b:12", Clock_nowMs() + 1000));
+    ck_assert(!apply_records(follower, 2, 9, "b:8", Clock_nowMs() + 1000));
     ck_assert_uint_eq(RecordFollower_position(follower).offset, 10);
-    ck_assert_str_eq(seen.told->str, "a ");
-    end(follower);
+    ck_assert_str_eq(seen.reported->str, "a ");
+    teardown(follower);
 }
 END_TEST
 
-START_TEST(what_is_missing_before_a_peers_records_is_read_at_once)
+START_TEST(gap_before_peer_records_is_read_at_once)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, "a:3");
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, "a:3");
     FakeSource_await(&source);
-    answer(10, FALSE, "");
-    RecordFollower_setReads(follower, 0, LONG_PAUSE_MS, 0);
-    ck_assert(feed(follower, 10, 11, "b:10", Clock_nowMs() + 1000));
+    answer_call(10, FALSE, "");
+    RecordFollower_setReadTiming(follower, 0, LONG_PAUSE_MS, 0);
+    ck_assert(apply_records(follower, 10, 11, "b:10", Clock_nowMs() + 1000));
     source.read_from = 0;
-    ck_assert(!feed(follower, 12, 20, "d:19", Clock_nowMs() + 2000));
+    ck_assert(!apply_records(follower, 12, 20, "d:19", Clock_nowMs() + 2000));
     FakeSource_await(&source);
     ck_assert_uint_eq(source.read_from, 11);
-    answer(20, FALSE, "c:11 d:19");
-    ck_assert_str_eq(seen.told->str, "a b c d ");
-    end(follower);
+    answer_call(20, FALSE, "c:11 d:19");
+    ck_assert_str_eq(seen.reported->str, "a b c d ");
+    teardown(follower);
 }
 END_TEST
 
-START_TEST(what_a_peer_read_after_a_failure_ends_the_outage)
+START_TEST(peer_records_read_after_a_failure_end_the_outage)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, "a:3");
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, "a:3");
     FakeSource_fail(&source, WT_ERROR_CONNECT);
     ck_assert(RecordFollower_isLost(follower));
-    ck_assert(feed(follower, 10, 11, "a-:10", Clock_nowMs() + 1000));
+    ck_assert(apply_records(follower, 10, 11, "a-:10", Clock_nowMs() + 1000));
     ck_assert(!RecordFollower_isLost(follower));
-    ck_assert_uint_eq(seen.regained, 0);
-    end(follower);
+    ck_assert_uint_eq(seen.restored, 0);
+    teardown(follower);
 }
 END_TEST
 
-START_TEST(a_peer_that_knew_it_earlier_is_not_taken)
+START_TEST(older_time_of_the_same_end_is_not_applied)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, "a:3");
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, "a:3");
     gint64 known_ms = seen.current_at_ms;
-    ck_assert(!feed(follower, 10, 10, "", known_ms));
-    ck_assert(feed(follower, 10, 10, "", known_ms + 1000));
-    ck_assert(!feed(follower, 10, 10, "", known_ms + 500));
+    ck_assert(!apply_records(follower, 10, 10, "", known_ms));
+    ck_assert(apply_records(follower, 10, 10, "", known_ms + 1000));
+    ck_assert(!apply_records(follower, 10, 10, "", known_ms + 500));
     ck_assert_int_eq(seen.current_at_ms, known_ms + 1000);
-    end(follower);
+    teardown(follower);
 }
 END_TEST
 
-START_TEST(the_same_end_by_another_way_is_no_news)
+START_TEST(same_end_by_another_path_is_not_applied)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, "a:3");
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, "a:3");
     gint64 at_ms = seen.current_at_ms + 1000;
-    ck_assert(feed(follower, 10, 20, "b:12", at_ms));
-    ck_assert(!feed(follower, 10, 20, "b:12", at_ms + 1));
-    ck_assert(!feed(follower, 10, 20, "b:12", at_ms + 199));
-    ck_assert(feed(follower, 10, 20, "b:12", at_ms + 200));
-    ck_assert_str_eq(seen.told->str, "a b ");
-    end(follower);
+    ck_assert(apply_records(follower, 10, 20, "b:12", at_ms));
+    ck_assert(!apply_records(follower, 10, 20, "b:12", at_ms + 1));
+    ck_assert(!apply_records(follower, 10, 20, "b:12", at_ms + 199));
+    ck_assert(apply_records(follower, 10, 20, "b:12", at_ms + 200));
+    ck_assert_str_eq(seen.reported->str, "a b ");
+    teardown(follower);
 }
 END_TEST
 
-START_TEST(an_answer_that_is_older_than_a_peers_word_changes_nothing)
+START_TEST(answer_older_than_peer_records_changes_nothing)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, "a:3");
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, "a:3");
     FakeSource_await(&source);
     gint64 at_ms = Clock_nowMs() + 1000;
-    ck_assert(feed(follower, 10, 20, "a-:15", at_ms));
-    answer(12, FALSE, "a:10 a:11");
-    ck_assert_str_eq(seen.told->str, "a a- ");
+    ck_assert(apply_records(follower, 10, 20, "a-:15", at_ms));
+    answer_call(12, FALSE, "a:10 a:11");
+    ck_assert_str_eq(seen.reported->str, "a a- ");
     ck_assert_uint_eq(RecordFollower_position(follower).offset, 20);
     ck_assert_int_eq(seen.current_at_ms, at_ms);
-    end(follower);
+    teardown(follower);
 }
 END_TEST
 
-START_TEST(a_removal_found_by_a_list_is_newer_than_what_peers_know)
+START_TEST(removal_found_by_a_list_is_newer_than_peer_records)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, "a:3 b:4");
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, "a:3 b:4");
     FakeSource_fail(&source, WT_ERROR_TRUNCATED);
-    answer(90, FALSE, "b:4");
-    ck_assert_str_eq(seen.told->str, "a b a- ");
+    answer_call(90, FALSE, "b:4");
+    ck_assert_str_eq(seen.reported->str, "a b a- ");
     ck_assert_uint_ge(seen.last_offset, 90);
-    end(follower);
+    teardown(follower);
 }
 END_TEST
 
-/* One that has read the records and is in a long pause. */
+/* Returns a follower that has read the records and is in a long pause. */
 static RecordFollower_t *
-begin_pausing(const char *records)
+setup_pausing(const char *records)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, records);
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, records);
     FakeSource_await(&source);
-    answer(10, FALSE, "");
-    RecordFollower_setReads(follower, 0, LONG_PAUSE_MS, 0);
-    answer(10, FALSE, "");
+    answer_call(10, FALSE, "");
+    RecordFollower_setReadTiming(follower, 0, LONG_PAUSE_MS, 0);
+    answer_call(10, FALSE, "");
     return follower;
 }
 
-/* Symptom: an accepted configuration was in force 5.8 s after its acceptance,
- * and requests were refused for old state in the seconds before.
- * Sequence: the routers that read for all are cut off from the store, it
- * compacts its topic, the others ask it by themselves.
- * Cause: the answer that the asked offset has expired was counted as no
- * answer, and a router that does not read for all waits for its long pause.
- * Settled by: such an answer begins a new list at once. */
-START_TEST(an_asked_offset_that_has_expired_is_listed_anew_at_once)
+/* A configuration came into force 5.8 s after it was accepted, and requests
+ * were refused for stale state meanwhile: the routers that read for all were
+ * cut off from the store, and the store compacted the topic. The checks of the
+ * other routers were answered that the offset had expired, which counted as no
+ * answer, so these routers waited out their long pause. */
+START_TEST(expired_offset_of_a_check_is_listed_again_at_once)
 {
-    RecordFollower_t *follower = begin_pausing("a:3 b:4");
-    RecordFollower_ask(follower, STORE_UNTOLD);
+    RecordFollower_t *follower = setup_pausing("a:3 b:4");
+    RecordFollower_checkEnd(follower, STORE_UNTOLD);
     FakeSource_fail(&source, WT_ERROR_TRUNCATED);
-    answer(90, FALSE, "b:4 c:80");
-    ck_assert_str_eq(seen.told->str, "a b c a- ");
+    answer_call(90, FALSE, "b:4 c:80");
+    ck_assert_str_eq(seen.reported->str, "a b c a- ");
     ck_assert_uint_eq(RecordFollower_position(follower).offset, 90);
-    ck_assert_uint_eq(RecordFollower_unanswered(follower), 0);
+    ck_assert_uint_eq(RecordFollower_failedChecks(follower), 0);
     ck_assert_uint_eq(seen.lost, 0);
-    end(follower);
+    teardown(follower);
 }
 END_TEST
 
-START_TEST(a_list_under_way_is_not_begun_again_by_what_was_asked)
+START_TEST(check_does_not_restart_a_list_in_progress)
 {
-    RecordFollower_t *follower = begin_pausing("a:3");
-    RecordFollower_ask(follower, STORE_UNTOLD);
+    RecordFollower_t *follower = setup_pausing("a:3");
+    RecordFollower_checkEnd(follower, STORE_UNTOLD);
     FakeSource_fail(&source, WT_ERROR_TRUNCATED);
-    RecordFollower_ask(follower, STORE_UNTOLD);
-    answer(90, TRUE, "c:80");
-    answer(90, FALSE, "d:81");
-    ck_assert_str_eq(seen.told->str, "a c d a- ");
-    end(follower);
+    RecordFollower_checkEnd(follower, STORE_UNTOLD);
+    answer_call(90, TRUE, "c:80");
+    answer_call(90, FALSE, "d:81");
+    ck_assert_str_eq(seen.reported->str, "a c d a- ");
+    teardown(follower);
 }
 END_TEST
 
-/* What the store has after it came back from an older copy. */
+/* Answers as a store that was restored from an older copy. */
 static void
 answer_of_next_epoch(guint64 page_end, const char *text)
 {
@@ -380,34 +380,34 @@
     FakeSource_answer(&source, &page);
 }
 
-/* Routers kept a configuration for seconds after a newer one had been
- * acknowledged: the store had come back older and given offsets out again, and
- * all records below the offset known of a key were dropped as older. The newer
- * ones had offsets 3 to 6 where 6 was known. */
-START_TEST(records_of_a_later_epoch_are_newer_whatever_their_offsets)
+/* Routers used an old configuration for seconds after a newer one had been
+ * acknowledged: the store was restored from an older copy and assigned offsets
+ * again, and records below the last known offset of a key were dropped as
+ * older. The newer records had offsets 3 to 6, and offset 6 was known. */
+START_TEST(records_of_a_later_epoch_are_newer_at_any_offset)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, "a:3 b:9");
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, "a:3 b:9");
     FakeSource_await(&source);
     RecordFollower_beginEpoch(follower, 0);
-    source.done = NULL; /* that call's answer counts no more */
+    source.done = NULL; /* the answer to that call is ignored */
     answer_of_next_epoch(5, "b:4");
-    ck_assert_str_eq(seen.told->str, "a b b a- ");
+    ck_assert_str_eq(seen.reported->str, "a b b a- ");
     FakeSource_await(&source);
     ck_assert_uint_eq(source.read_from, 5);
     answer_of_next_epoch(6, "b:5");
-    ck_assert_str_eq(seen.told->str, "a b b a- b ");
+    ck_assert_str_eq(seen.reported->str, "a b b a- b ");
     ck_assert_uint_eq(seen.current, 6);
-    end(follower);
+    teardown(follower);
 }
 END_TEST
 
-START_TEST(what_was_asked_before_a_return_is_not_taken_after_it)
+START_TEST(answer_from_before_an_epoch_change_is_not_applied)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, "a:3");
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, "a:3");
     FakeSource_await(&source);
-    KeyedDone_t done = source.done;
+    KeyedPageDone_t done = source.done;
     void *data = source.data;
     RecordFollower_beginEpoch(follower, 0);
     source.done = NULL;
@@ -415,44 +415,44 @@
     KeyedPage_t late = make_page(11, FALSE, "a:10");
     done(&late, NULL, data);
     g_ptr_array_unref(late.records);
-    ck_assert_str_eq(seen.told->str, "a ");
+    ck_assert_str_eq(seen.reported->str, "a ");
     answer_of_next_epoch(5, "a:4");
-    ck_assert_str_eq(seen.told->str, "a a ");
+    ck_assert_str_eq(seen.reported->str, "a a ");
     ck_assert_uint_eq(RecordFollower_position(follower).epoch, 1);
-    end(follower);
+    teardown(follower);
 }
 END_TEST
 
-START_TEST(what_a_peer_tells_of_another_epoch_is_not_taken)
+START_TEST(peer_records_of_another_epoch_are_not_applied)
 {
-    RecordFollower_t *follower = begin();
-    answer(10, FALSE, "a:3");
+    RecordFollower_t *follower = setup();
+    answer_call(10, FALSE, "a:3");
     RecordFollower_beginEpoch(follower, 0);
     source.done = NULL;
     answer_of_next_epoch(5, "a:4");
-    ck_assert(!feed(follower, 5, 20, "b:12", Clock_nowMs() + 1000));
+    ck_assert(!apply_records(follower, 5, 20, "b:12", Clock_nowMs() + 1000));
     ck_assert_uint_eq(RecordFollower_position(follower).offset, 5);
-    ck_assert_str_eq(seen.told->str, "a a ");
-    end(follower);
+    ck_assert_str_eq(seen.reported->str, "a a ");
+    teardown(follower);
 }
 END_TEST
 
-TESTING_MAIN("RecordFollower", it_lists_and_reads_on_from_the_first_page,
-             a_peers_list_of_before_brings_nothing_back,
-             a_peers_list_from_before_the_first_page_is_not_taken,
+TESTING_MAIN("RecordFollower", reads_on_from_the_end_at_the_first_list_page,
+             outdated_list_of_a_peer_restores_no_removed_key,
+             peer_list_older_than_the_first_page_is_not_applied,
              not_current_before_the_end_is_read,
-             expired_records_are_listed_anew_and_removals_told,
-             an_outage_is_told_once_and_its_end,
-             what_a_peer_has_read_is_not_read_again,
-             a_peer_is_not_taken_where_records_are_missing,
-             what_is_missing_before_a_peers_records_is_read_at_once,
-             what_a_peer_read_after_a_failure_ends_the_outage,
-             a_peer_that_knew_it_earlier_is_not_taken,
-             the_same_end_by_another_way_is_no_news,
-             an_answer_that_is_older_than_a_peers_word_changes_nothing,
-             a_removal_found_by_a_list_is_newer_than_what_peers_know,
-             an_asked_offset_that_has_expired_is_listed_anew_at_once,
-             a_list_under_way_is_not_begun_again_by_what_was_asked,
-             records_of_a_later_epoch_are_newer_whatever_their_offsets,
-             what_was_asked_before_a_return_is_not_taken_after_it,
-             what_a_peer_tells_of_another_epoch_is_not_taken)
+             expired_records_are_listed_again_and_removals_reported,
+             outage_and_its_end_are_reported_once,
+             records_from_a_peer_are_not_read_again,
+             peer_records_after_a_gap_are_not_applied,
+             gap_before_peer_records_is_read_at_once,
+             peer_records_read_after_a_failure_end_the_outage,
+             older_time_of_the_same_end_is_not_applied,
+             same_end_by_another_path_is_not_applied,
+             answer_older_than_peer_records_changes_nothing,
+             removal_found_by_a_list_is_newer_than_peer_records,
+             expired_offset_of_a_check_is_listed_again_at_once,
+             check_does_not_restart_a_list_in_progress,
+             records_of_a_later_epoch_are_newer_at_any_offset,
+             answer_from_before_an_epoch_change_is_not_applied,
+             peer_records_of_another_epoch_are_not_applied)
--- a/tests/test_RouteSync.c
+++ b/tests/test_RouteSync.c
@@ -41,7 +41,7 @@
     gboolean list;
     guint64 from;
     gint64 wait_ms;
-    KeyedDone_t done;
+    KeyedPageDone_t done;
     void *data;
 } Call_t;
 
@@ -61,7 +61,7 @@
 static guint self; /* the router whose part is tested */
 
 static void
-add_call(gboolean list, guint64 from, gint64 wait_ms, KeyedDone_t done,
+add_call(gboolean list, guint64 from, gint64 wait_ms, KeyedPageDone_t done,
          void *data)
 {
     Call_t call = {list, from, wait_ms, done, data};
@@ -71,7 +71,7 @@
 
 static void
 list(RecordSource_t *super, const char *topic, const char *after,
-     KeyedDone_t done, void *data)
+     KeyedPageDone_t done, void *data)
 {
     (void)super;
     (void)topic;
@@ -81,7 +81,7 @@
 
 static void
 read_from(RecordSource_t *super, const char *topic, guint64 from,
-          gint64 wait_ms, KeyedDone_t done, void *data)
+          gint64 wait_ms, KeyedPageDone_t done, void *data)
 {
     (void)super;
     (void)topic;
