--- a/bench/Replay.c
+++ b/bench/Replay.c
@@ -636,7 +636,7 @@
     Upstream_t *upstream = Upstream_create(NULL, name, &spec, 0);
     upstream->prefill_us_per_token =
         CLOCK_US_PER_MS / (double)this->spec->fleet.prompt_tokens_ms;
-    upstream->weights_rise = TRUE;
+    upstream->versions_increase = TRUE;
     Upstream_noteWeights(upstream, WEIGHTS);
     g_string_free(spec.hall, TRUE);
     g_string_free(spec.region, TRUE);
--- a/src/AttemptConnection.c
+++ b/src/AttemptConnection.c
@@ -169,8 +169,8 @@
         bufferevent_get_input(AttemptConnection_bufferevent(this));
     evbuffer_remove_cb_entry(output, this->output_watch);
     evbuffer_remove_cb_entry(input, this->input_watch);
-    if (this->reusable && Upstream_canKeep(this->upstream)) {
-        Upstream_keepConnection(this->upstream, this->evhttp, Clock_nowMs());
+    if (this->reusable && Upstream_canPoolConnection(this->upstream)) {
+        Upstream_poolConnection(this->upstream, this->evhttp, Clock_nowMs());
     }
     else {
         evhttp_connection_free(this->evhttp);
--- a/src/EngineHttp.c
+++ b/src/EngineHttp.c
@@ -245,7 +245,7 @@
                 {
                     [NOTICE_LIMIT] = "X-Request-Limit",
                     [NOTICE_LEAVING] = "X-Leaving",
-                    [NOTICE_REST] = "Retry-After",
+                    [NOTICE_BACKOFF] = "Retry-After",
                 },
         },
 };
--- a/src/Exchange.c
+++ b/src/Exchange.c
@@ -74,7 +74,7 @@
     CrashGuard_removeRequest(this->context->crashes, this);
     CustomerLimits_release(this->context->limits, this->customer->str);
     RateGate_release(&this->rate_gate, run != RUN_NOT);
-    UpstreamGate_leave(&this->upstream_gate);
+    UpstreamGate_release(&this->upstream_gate);
     ExchangeLog_end(this, outcome);
     this->trace->outcome = outcome;
     Traces_keep(this->context->traces, this->trace);
@@ -274,11 +274,11 @@
     this->silence_counted = FALSE;
     set_upstream(&this->upstream, upstream);
     this->origin = NoticeOrigin_begin(upstream, this->id->str);
-    UpstreamGate_use(&this->upstream_gate, upstream);
+    UpstreamGate_consume(&this->upstream_gate, upstream);
     ExchangeLog_sentToLimited(this);
     ExchangeLog_sentToLeaving(this);
     ExchangeLog_sentDuringBackoff(this);
-    UpstreamBackoff_noteSent(&upstream->rest, Clock_nowMs());
+    UpstreamBackoff_noteSent(&upstream->backoff, Clock_nowMs());
     upstream->in_flight++;
     upstream->probing = upstream->ejections > 0;
 }
@@ -286,7 +286,7 @@
 void
 Exchange_noteNotice(const Exchange_t *this, const UpstreamNotice_t *notice)
 {
-    UpstreamNotices_take(this->context->notices, &this->origin, notice);
+    UpstreamNotices_apply(this->context->notices, &this->origin, notice);
 }
 
 static gboolean
--- a/src/ExchangeCapacity.c
+++ b/src/ExchangeCapacity.c
@@ -41,7 +41,7 @@
 }
 
 static void
-on_capacity(void *owner, UpstreamGateStep_t step)
+on_capacity(void *owner, UpstreamGateResult_t step)
 {
     Exchange_t *this = owner;
     if (step == UPSTREAM_GATE_FULL) {
@@ -61,8 +61,8 @@
         .done = on_capacity,
         .owner = this,
     };
-    UpstreamGateStep_t step =
-        UpstreamGate_enter(&this->upstream_gate, upstream, &spec);
+    UpstreamGateResult_t step =
+        UpstreamGate_acquire(&this->upstream_gate, upstream, &spec);
     if (step == UPSTREAM_GATE_FULL) {
         place_after_full(this);
     }
@@ -79,7 +79,8 @@
 gboolean
 ExchangeCapacity_acquireSame(Exchange_t *this, Upstream_t *upstream)
 {
-    gint64 backoff_ms = UpstreamBackoff_leftMs(&upstream->rest, Clock_nowMs());
+    gint64 backoff_ms =
+        UpstreamBackoff_leftMs(&upstream->backoff, Clock_nowMs());
     if (backoff_ms > 0) {
         Clock_arm(this->next_timer, backoff_ms);
         return FALSE;
@@ -91,7 +92,7 @@
 void
 ExchangeCapacity_release(Exchange_t *this)
 {
-    UpstreamGate_leave(&this->upstream_gate);
+    UpstreamGate_release(&this->upstream_gate);
 }
 
 /* The caller has begun to read the answer, and a refusal would truncate it. */
--- a/src/ExchangeLog.c
+++ b/src/ExchangeLog.c
@@ -84,9 +84,9 @@
 void
 ExchangeLog_sentDuringBackoff(const Exchange_t *this)
 {
-    const UpstreamBackoff_t *rest = &this->upstream->rest;
+    const UpstreamBackoff_t *backoff = &this->upstream->backoff;
     gint64 now_ms = Clock_nowMs();
-    gint64 left_ms = UpstreamBackoff_leftMs(rest, now_ms);
+    gint64 left_ms = UpstreamBackoff_leftMs(backoff, now_ms);
     if (left_ms == 0) {
         return;
     }
@@ -96,7 +96,7 @@
     Log_text("upstream", this->upstream->name->str);
     Log_text("reason", this->attempt_trace->reason);
     Log_number("attempts", this->attempts);
-    Log_number("asked_age_ms", now_ms - rest->asked_ms);
+    Log_number("asked_age_ms", now_ms - backoff->asked_ms);
     Log_number("left_ms", left_ms);
     Log_end();
 }
--- a/src/FirstTokenEstimate.c
+++ b/src/FirstTokenEstimate.c
@@ -63,7 +63,8 @@
         return;
     }
     gint64 min_us =
-        Upstream_leastUs(this->upstream, this->missing_tokens) + moved_us;
+        Upstream_minFirstTokenUs(this->upstream, this->missing_tokens) +
+        moved_us;
     gint64 excess_us = waited_us - min_us - this->engine_us;
     gint64 link_us = excess_us * moved_us / (moved_us + this->engine_us);
     Link_noteExcess(link, link_us, now_ms);
--- a/src/HomePolicy.c
+++ b/src/HomePolicy.c
@@ -307,10 +307,10 @@
 load_us(const Upstream_t *upstream)
 {
     double tokens = (double)upstream->pending_tokens +
-                    (double)upstream->others_tokens +
+                    (double)upstream->peer_tokens +
                     (double)upstream->ticket_tokens;
     return (gint64)(tokens * upstream->prefill_us_per_token) +
-           (gint64)RUNNING_COST_US * Upstream_requests(upstream);
+           (gint64)RUNNING_COST_US * Upstream_countRequests(upstream);
 }
 
 /* Time until the engine takes the request into its batch. The slots and the
@@ -321,7 +321,7 @@
 {
     EngineQueueInput_t input = {
         .slots = upstream->slots,
-        .requests = Upstream_requests(upstream),
+        .requests = Upstream_countRequests(upstream),
         .run_us = upstream->run_us,
     };
     return MAX(EngineQueue_waitUs(&input), Upstream_waitUs(upstream, now_ms));
@@ -368,7 +368,7 @@
     if (has_old_weights(placement, upstream)) {
         penalty += OLD_WEIGHTS_COST_US;
     }
-    if (placement->now_ms < upstream->soon_until_ms) {
+    if (placement->now_ms < upstream->load_soon_until_ms) {
         penalty += MAX(placement->run_us - RUN_BEFORE_LOAD_US, 0);
     }
     return penalty;
--- a/src/LeastLoadedPolicy.c
+++ b/src/LeastLoadedPolicy.c
@@ -8,7 +8,7 @@
 static guint64
 load_of(const Upstream_t *upstream)
 {
-    return (guint64)upstream->in_flight + upstream->others_requests +
+    return (guint64)upstream->in_flight + upstream->peer_requests +
            upstream->reported_running;
 }
 
@@ -23,8 +23,10 @@
     if (!best || load_of(upstream) != load_of(best)) {
         return !best || load_of(upstream) < load_of(best);
     }
-    return Upstream_isWarm(upstream, placement->warm_ms, placement->now_ms) &&
-           !Upstream_isWarm(best, placement->warm_ms, placement->now_ms);
+    return Upstream_hasWarmConnection(upstream, placement->warm_ms,
+                                      placement->now_ms) &&
+           !Upstream_hasWarmConnection(best, placement->warm_ms,
+                                       placement->now_ms);
 }
 
 static Choice_t
--- a/src/LoadShare.c
+++ b/src/LoadShare.c
@@ -51,8 +51,8 @@
     const GPtrArray *all = UpstreamSet_all(this->spec.upstreams);
     for (guint i = 0; i < all->len; i++) {
         Upstream_t *upstream = g_ptr_array_index(all, i);
-        upstream->others_tokens = 0;
-        upstream->others_requests = 0;
+        upstream->peer_tokens = 0;
+        upstream->peer_requests = 0;
         upstream->link.others_us = 0;
     }
 }
@@ -63,8 +63,8 @@
     Upstream_t *upstream =
         UpstreamSet_findHash(this->spec.upstreams, load->upstream);
     if (upstream) {
-        upstream->others_tokens += load->tokens;
-        upstream->others_requests += load->requests;
+        upstream->peer_tokens += load->tokens;
+        upstream->peer_requests += load->requests;
         upstream->link.others_us += load->link_us;
     }
 }
--- a/src/OrderedEngine.c
+++ b/src/OrderedEngine.c
@@ -219,7 +219,8 @@
         note_loaded(this);
     }
     if (reborn || strcmp(before, known->str) != 0) {
-        hint(this, HINT_LOADED, (guint)Upstream_version(this->upstream));
+        hint(this, HINT_LOADED,
+             (guint)Upstream_weightsVersion(this->upstream));
         spread(this);
     }
 }
@@ -292,7 +293,7 @@
         take_error(this, error);
         return;
     }
-    UpstreamNotices_takeAnswer(this->giver->notices, &this->origin, answer);
+    UpstreamNotices_applyAnswer(this->giver->notices, &this->origin, answer);
     if (this->call_is_order) {
         take_outcome(this, answer);
     }
@@ -457,7 +458,7 @@
 OrderedEngine_warn(OrderedEngine_t *this)
 {
     if (this->giver->form->listed &&
-        Upstream_noteSoon(this->upstream, SOON_MS, Clock_nowMs())) {
+        Upstream_noteLoadSoon(this->upstream, SOON_MS, Clock_nowMs())) {
         hint(this, HINT_LOAD_SOON, SOON_MS);
         Log_begin(LOG_LEVEL_INFO, "load_expected");
         Log_text("upstream", this->upstream->name->str);
--- a/src/Orders.c
+++ b/src/Orders.c
@@ -100,7 +100,7 @@
     GArray *found = g_array_new(FALSE, FALSE, sizeof(Ordered_t));
     for (guint i = 0; i < all->len; i++) {
         Upstream_t *upstream = g_ptr_array_index(all, i);
-        Ordered_t ordered = {.version = Upstream_version(upstream)};
+        Ordered_t ordered = {.version = Upstream_weightsVersion(upstream)};
         if (is_mine(this, upstream, &ordered.wanted)) {
             ordered.engine = engine_of(this, upstream);
             if (ordered.engine) {
--- a/src/Policy.c
+++ b/src/Policy.c
@@ -27,7 +27,7 @@
 static gboolean
 is_backed_off(const Placement_t *placement, const Upstream_t *upstream)
 {
-    const UpstreamBackoff_t *backoff = &upstream->rest;
+    const UpstreamBackoff_t *backoff = &upstream->backoff;
     if (placement->ignores_backoffs) {
         return FALSE;
     }
@@ -52,7 +52,7 @@
         return FALSE;
     }
     if (placement->min_weights_version > 0 &&
-        Upstream_version(upstream) < placement->min_weights_version) {
+        Upstream_weightsVersion(upstream) < placement->min_weights_version) {
         return FALSE;
     }
     return placement->is_last_resort
@@ -105,7 +105,7 @@
     for (guint i = 0; i < placement->serving->len; i++) {
         const Upstream_t *upstream = g_ptr_array_index(placement->serving, i);
         gint64 left_ms =
-            UpstreamBackoff_leftMs(&upstream->rest, placement->now_ms);
+            UpstreamBackoff_leftMs(&upstream->backoff, placement->now_ms);
         if (left_ms > 0 && Policy_mayUse(&unpaced, upstream)) {
             found.count++;
             found.first_ms = MIN(found.first_ms, left_ms);
--- a/src/PrefixSupply.c
+++ b/src/PrefixSupply.c
@@ -51,7 +51,7 @@
     }
     return EngineMemory_retains(&upstream->memory, &holder->mark,
                                 placement->cache_tokens,
-                                Upstream_requests(upstream));
+                                Upstream_countRequests(upstream));
 }
 
 void
--- a/src/RelayAttempt.c
+++ b/src/RelayAttempt.c
@@ -159,8 +159,8 @@
     }
     struct evkeyvalq *headers = evhttp_request_get_input_headers(request);
     this->connection.last_received_ms = Clock_nowMs();
-    Upstream_noteReached(this->connection.upstream,
-                         this->connection.last_received_ms);
+    Upstream_noteReachable(this->connection.upstream,
+                           this->connection.last_received_ms);
     this->form->read_head(evhttp_request_get_response_code(request), headers,
                           this->request_id->str,
                           this->connection.upstream->name->str, &this->head);
--- a/src/RelayFeedback.c
+++ b/src/RelayFeedback.c
@@ -90,7 +90,7 @@
         return;
     }
     EngineSpeed_t *speed = find_speed(this);
-    EngineSpeed_note(speed, waited_us - UPSTREAM_LEAST_FIRST_US,
+    EngineSpeed_note(speed, waited_us - UPSTREAM_MIN_FIRST_TOKEN_US,
                      this->missing_tokens);
     if (EngineSpeed_consumeChange(speed)) {
         apply_speed(this, speed);
@@ -132,7 +132,8 @@
 RelayFeedback_noteEnd(RelayFeedback_t *this)
 {
     if (this->first_event_us > 0) {
-        Upstream_noteRun(this->upstream, Clock_nowUs() - this->first_event_us);
+        Upstream_noteRunTime(this->upstream,
+                             Clock_nowUs() - this->first_event_us);
     }
     this->first_event_us = 0;
     RelayFeedback_clearPending(this);
@@ -152,8 +153,8 @@
 RelayFeedback_noteAnswer(const RelayFeedback_t *this, const RelayHead_t *head)
 {
     if (head->is_from_upstream) {
-        UpstreamNotices_take(this->context->notices, &this->origin,
-                             &head->notice);
+        UpstreamNotices_apply(this->context->notices, &this->origin,
+                              &head->notice);
     }
 }
 
@@ -190,14 +191,14 @@
     Log_text("upstream", this->upstream->name->str);
     Log_text("request", this->origin.request_id);
     Log_text("reason", reason);
-    Log_number("proof_age_ms", Clock_nowMs() - this->upstream->proved_ms);
+    Log_number("proof_age_ms", Clock_nowMs() - this->upstream->last_answer_ms);
     Log_end();
 }
 
 static void
 note_unreachable(const RelayFeedback_t *this, const char *reason)
 {
-    if (Upstream_noteUnreached(this->upstream)) {
+    if (Upstream_noteUnreachable(this->upstream)) {
         log_suspicion(this, reason);
     }
 }
@@ -217,7 +218,7 @@
 gboolean
 RelayFeedback_noteSilence(const RelayFeedback_t *this)
 {
-    if (Clock_nowMs() - this->upstream->proved_ms < LIVENESS_MAX_AGE_MS) {
+    if (Clock_nowMs() - this->upstream->last_answer_ms < LIVENESS_MAX_AGE_MS) {
         return FALSE;
     }
     note_unreachable(this, "silent");
--- a/src/RelayMove.c
+++ b/src/RelayMove.c
@@ -263,7 +263,7 @@
     Exchange_t *super = &exchange->super;
     this->upstream = Upstream_ref(destination->choice.upstream);
     this->upstream->in_flight++;
-    UpstreamBackoff_noteSent(&this->upstream->rest, Clock_nowMs());
+    UpstreamBackoff_noteSent(&this->upstream->backoff, Clock_nowMs());
     this->started_us = Clock_nowUs();
     RetryBudget_withdraw(super->context->budget, super->target->str);
     Context_countRetry(super->context,
--- a/src/RelayParts.c
+++ b/src/RelayParts.c
@@ -65,7 +65,7 @@
     /* An engine's version was named at some time, even if a store that was
      * restored to an older state does not show it. Versions only grow, so no
      * engine is ordered to load an older one. */
-    guint64 version = Upstream_version(upstream);
+    guint64 version = Upstream_weightsVersion(upstream);
     if (!out->weights || version > g_ascii_strtoull(out->weights, NULL, 10)) {
         return FALSE;
     }
@@ -180,11 +180,11 @@
 static gboolean
 apply_suspicion(Upstream_t *upstream, gint64 now_ms)
 {
-    if (now_ms - upstream->proved_ms < LIVENESS_MAX_AGE_MS ||
-        !Upstream_noteDoubt(upstream, now_ms)) {
+    if (now_ms - upstream->last_answer_ms < LIVENESS_MAX_AGE_MS ||
+        !Upstream_noteSuspicionReport(upstream, now_ms)) {
         return FALSE;
     }
-    Upstream_noteHeardDoubt(upstream);
+    Upstream_notePeerSuspicion(upstream);
     return TRUE;
 }
 
@@ -205,9 +205,9 @@
     case HINT_UNREACHABLE:
         return apply_suspicion(upstream, now_ms);
     case HINT_REACHABLE:
-        return Upstream_settleDoubt(upstream);
+        return Upstream_resolveSuspicion(upstream);
     case HINT_LOAD_SOON:
-        return Upstream_noteSoon(upstream, hint->value, now_ms);
+        return Upstream_noteLoadSoon(upstream, hint->value, now_ms);
     default:
         return FALSE;
     }
--- a/src/RelayPlacer.c
+++ b/src/RelayPlacer.c
@@ -118,7 +118,7 @@
         context->weights, model,
         context->settings->relay.weights_limit_ms - QUEUE_REMOVAL_MARGIN_MS,
         Clock_nowMs());
-    return Upstream_version(upstream) < version_min;
+    return Upstream_weightsVersion(upstream) < version_min;
 }
 
 gint64
@@ -128,8 +128,9 @@
     if (!model) {
         return G_MAXINT64;
     }
-    gint64 lag_ms = NamedWeights_lagMs(
-        context->weights, model, Upstream_version(upstream), Clock_nowMs());
+    gint64 lag_ms =
+        NamedWeights_lagMs(context->weights, model,
+                           Upstream_weightsVersion(upstream), Clock_nowMs());
     gint64 limit_ms = context->settings->relay.weights_limit_ms;
     return MAX(limit_ms - QUEUE_REMOVAL_MARGIN_MS - lag_ms, 0);
 }
--- a/src/RelayRun.c
+++ b/src/RelayRun.c
@@ -185,7 +185,8 @@
     Log_text("reason", Refusal_spec(this->keep_reason)->code);
     Log_text("upstream", super->upstream->name->str);
     Log_text("config", config);
-    Log_number("proof_age_ms", Clock_nowMs() - super->upstream->proved_ms);
+    Log_number("proof_age_ms",
+               Clock_nowMs() - super->upstream->last_answer_ms);
     Log_number("left_ms", super->deadline_ms - Clock_nowMs());
     Log_end();
 }
--- a/src/Router.c
+++ b/src/Router.c
@@ -91,7 +91,7 @@
         CrashGuard_receive(this->context.crashes, message->crash_news);
     }
     else if (message->body_case == WT__PEER_MESSAGE__BODY_NOTICE_NEWS) {
-        UpstreamNotices_takeNews(this->context.notices, message->notice_news);
+        UpstreamNotices_receive(this->context.notices, message->notice_news);
     }
     else if (this->relay) {
         RelayParts_receive(this->relay, from, message);
@@ -106,7 +106,7 @@
 {
     const Router_t *this = data;
     CrashGuard_syncPeer(this->context.crashes, member);
-    UpstreamNotices_introduce(this->context.notices, member);
+    UpstreamNotices_syncPeer(this->context.notices, member);
     if (this->relay) {
         RelayParts_syncPeer(this->relay, member);
     }
--- a/src/StreamExchange.c
+++ b/src/StreamExchange.c
@@ -335,7 +335,7 @@
 {
     const Upstream_t *upstream = this->stream.upstream;
     return this->super.repeatable && this->prompt &&
-           UpstreamBackoff_leftMs(&upstream->rest, Clock_nowMs()) > 0;
+           UpstreamBackoff_leftMs(&upstream->backoff, Clock_nowMs()) > 0;
 }
 
 static void
--- a/src/Tickets.c
+++ b/src/Tickets.c
@@ -146,7 +146,7 @@
     const Ticket_t *ticket = g_hash_table_lookup(this->by_id, &id);
     if (ticket && ticket->begun) {
         gint64 run_ms = Clock_nowMs() - ticket->begun_ms;
-        Upstream_noteRun(ticket->upstream, run_ms * CLOCK_US_PER_MS);
+        Upstream_noteRunTime(ticket->upstream, run_ms * CLOCK_US_PER_MS);
     }
 }
 
--- a/src/Upstream.c
+++ b/src/Upstream.c
@@ -4,20 +4,20 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Before anything was learned: a mid-sized engine. */
-#define FIRST_PREFILL_US_PER_TOKEN 50.0
-#define MAX_EJECTION_DOUBLINGS 5
-/* What was learned of a wait counts half after so long: a queue of requests
- * that take a few hundred milliseconds each has changed by then. */
+/* Assumed until a value is learned; typical of a mid-sized engine. */
+#define INITIAL_PREFILL_US_PER_TOKEN 50.0
+#define EJECTION_DOUBLINGS_MAX 5
+/* Half-life of a learned wait: a queue of requests that take a few hundred
+ * milliseconds each has changed by then. */
 #define WAIT_HALF_LIFE_MS 400.0
-/* Share of a new observation in what is known. */
+/* Weight of a new observation in the learned wait. */
 #define WAIT_GAIN 0.4
-/* The same of a time that requests run: some twenty of them count, as short
- * and long ones come mixed. */
+/* Weight of a new observation in the learned run time. The average covers
+ * about 20 requests, as short and long ones come mixed. */
 #define RUN_GAIN 0.05
-/* A doubt that routers tell each other is not told or taken again for so
- * long. */
-#define DOUBT_AGE_MS 3000
+/* Time after a suspicion was sent or received in which further reports of it
+ * are dropped. */
+#define SUSPICION_REPORT_INTERVAL_MS 3000
 
 typedef struct {
     struct evhttp_connection *connection;
@@ -38,7 +38,7 @@
     this->slots = (guint)spec->slots;
     this->hash = XXH3_64bits(name, strlen(name));
     this->weights = g_string_new(NULL);
-    this->prefill_us_per_token = FIRST_PREFILL_US_PER_TOKEN;
+    this->prefill_us_per_token = INITIAL_PREFILL_US_PER_TOKEN;
     this->base = base;
     this->idle_max = idle_max;
     this->references = 1;
@@ -55,7 +55,7 @@
 }
 
 static void
-drop_idle(Upstream_t *this)
+close_idle_connections(Upstream_t *this)
 {
     IdleConnection_t *idle = NULL;
     while ((idle = g_queue_pop_head(&this->idle))) {
@@ -70,7 +70,7 @@
     if (--this->references > 0) {
         return;
     }
-    drop_idle(this);
+    close_idle_connections(this);
     g_string_free(this->name, TRUE);
     g_string_free(this->hall, TRUE);
     g_string_free(this->region, TRUE);
@@ -107,17 +107,17 @@
     if (this->leaving) {
         return "leaving";
     }
-    if (UpstreamBackoff_leftMs(&this->rest, now_ms) > 0) {
+    if (UpstreamBackoff_leftMs(&this->backoff, now_ms) > 0) {
         return "resting";
     }
     return now_ms < this->ejected_until_ms ? "ejected" : "live";
 }
 
 static void
-forget_incarnation(Upstream_t *this)
+reset_incarnation_state(Upstream_t *this)
 {
     EngineMemory_clear(&this->memory);
-    drop_idle(this);
+    close_idle_connections(this);
     this->leaving = FALSE;
     this->leaving_ms = 0;
     this->replaced = FALSE;
@@ -126,9 +126,9 @@
     this->wait_us = 0;
     this->paused_until_ms = 0;
     this->unloading_since_ms = 0;
-    this->soon_until_ms = 0;
+    this->load_soon_until_ms = 0;
     this->limit = (UpstreamLimit_t){0};
-    this->rest = (UpstreamBackoff_t){0};
+    this->backoff = (UpstreamBackoff_t){0};
     Upstream_noteSuccess(this);
 }
 
@@ -138,11 +138,11 @@
     if (incarnation <= this->incarnation) {
         return FALSE;
     }
-    gboolean first = this->incarnation == 0;
+    gboolean is_first = this->incarnation == 0;
     this->incarnation = incarnation;
     this->live_since_ms = now_ms;
-    if (!first) {
-        forget_incarnation(this);
+    if (!is_first) {
+        reset_incarnation_state(this);
     }
     return TRUE;
 }
@@ -163,76 +163,77 @@
 }
 
 gboolean
-Upstream_noteSoon(Upstream_t *this, gint64 for_ms, gint64 now_ms)
+Upstream_noteLoadSoon(Upstream_t *this, gint64 for_ms, gint64 now_ms)
 {
-    if (this->soon_until_ms - now_ms > for_ms / 2) {
+    if (this->load_soon_until_ms - now_ms > for_ms / 2) {
         return FALSE;
     }
-    this->soon_until_ms = now_ms + for_ms;
+    this->load_soon_until_ms = now_ms + for_ms;
     return TRUE;
 }
 
 gint64
 Upstream_unloadingMs(const Upstream_t *this, gint64 now_ms)
 {
-    gboolean pauses = now_ms < this->paused_until_ms;
-    return pauses && this->unloading_since_ms != 0
+    gboolean is_paused = now_ms < this->paused_until_ms;
+    return is_paused && this->unloading_since_ms != 0
                ? now_ms - this->unloading_since_ms
                : 0;
 }
 
 gboolean
-Upstream_noteUnreached(Upstream_t *this)
+Upstream_noteUnreachable(Upstream_t *this)
 {
-    gboolean news = !this->suspect;
+    gboolean is_new = !this->suspect;
     this->suspect = TRUE;
-    this->heard_doubt = FALSE;
-    drop_idle(this);
-    return news;
+    this->suspected_by_peer = FALSE;
+    close_idle_connections(this);
+    return is_new;
 }
 
 void
-Upstream_noteHeardDoubt(Upstream_t *this)
+Upstream_notePeerSuspicion(Upstream_t *this)
 {
     if (!this->suspect) {
         this->suspect = TRUE;
-        this->heard_doubt = TRUE;
-        drop_idle(this);
+        this->suspected_by_peer = TRUE;
+        close_idle_connections(this);
     }
 }
 
 gboolean
-Upstream_settleDoubt(Upstream_t *this)
+Upstream_resolveSuspicion(Upstream_t *this)
 {
-    if (this->doubted_ms == 0 || this->doubt_settled) {
+    if (this->suspicion_reported_ms == 0 || this->suspicion_resolved) {
         return FALSE;
     }
-    this->doubt_settled = TRUE;
-    if (this->heard_doubt) {
+    this->suspicion_resolved = TRUE;
+    if (this->suspected_by_peer) {
         this->suspect = FALSE;
-        this->heard_doubt = FALSE;
+        this->suspected_by_peer = FALSE;
     }
     return TRUE;
 }
 
 gboolean
-Upstream_noteDoubt(Upstream_t *this, gint64 now_ms)
+Upstream_noteSuspicionReport(Upstream_t *this, gint64 now_ms)
 {
-    if (this->doubted_ms != 0 && now_ms - this->doubted_ms < DOUBT_AGE_MS) {
+    if (this->suspicion_reported_ms != 0 &&
+        now_ms - this->suspicion_reported_ms < SUSPICION_REPORT_INTERVAL_MS) {
         return FALSE;
     }
-    this->doubted_ms = now_ms;
-    this->doubt_settled = FALSE;
+    this->suspicion_reported_ms = now_ms;
+    this->suspicion_resolved = FALSE;
     return TRUE;
 }
 
 void
-Upstream_noteReached(Upstream_t *this, gint64 now_ms)
+Upstream_noteReachable(Upstream_t *this, gint64 now_ms)
 {
     this->suspect = FALSE;
-    this->heard_doubt = FALSE;
+    this->suspected_by_peer = FALSE;
     this->unanswered = 0;
-    this->proved_ms = now_ms;
+    this->last_answer_ms = now_ms;
 }
 
 void
@@ -251,7 +252,7 @@
     }
 }
 
-/* A waiter may remove itself, but no other. */
+/* A callback may remove its own waiter, but no other waiter. */
 void
 Upstream_withdrawWaiters(Upstream_t *this)
 {
@@ -277,29 +278,30 @@
 }
 
 static guint64
-number_of(const char *weights)
+parse_version(const char *weights)
 {
     return g_ascii_strtoull(weights, NULL, 10);
 }
 
 guint64
-Upstream_version(const Upstream_t *this)
+Upstream_weightsVersion(const Upstream_t *this)
 {
-    return number_of(this->weights->str);
+    return parse_version(this->weights->str);
 }
 
 gboolean
 Upstream_noteWeights(Upstream_t *this, const char *weights)
 {
     if (strcmp(this->weights->str, weights) == 0 ||
-        (this->weights_rise && number_of(weights) < Upstream_version(this))) {
+        (this->versions_increase &&
+         parse_version(weights) < Upstream_weightsVersion(this))) {
         return FALSE;
     }
     g_string_assign(this->weights, weights);
     EngineMemory_clear(&this->memory);
     this->paused_until_ms = 0;
     this->unloading_since_ms = 0;
-    this->soon_until_ms = 0;
+    this->load_soon_until_ms = 0;
     return TRUE;
 }
 
@@ -311,9 +313,9 @@
 }
 
 gint64
-Upstream_leastUs(const Upstream_t *this, guint tokens)
+Upstream_minFirstTokenUs(const Upstream_t *this, guint tokens)
 {
-    return UPSTREAM_LEAST_FIRST_US +
+    return UPSTREAM_MIN_FIRST_TOKEN_US +
            (gint64)(tokens * this->prefill_us_per_token);
 }
 
@@ -321,21 +323,21 @@
 Upstream_noteFirstToken(Upstream_t *this, gint64 waited_us, guint tokens,
                         gint64 now_ms)
 {
-    gint64 least_us = Upstream_leastUs(this, tokens);
-    double excess_us = (double)MAX(waited_us - least_us, 0);
+    gint64 min_us = Upstream_minFirstTokenUs(this, tokens);
+    double excess_us = (double)MAX(waited_us - min_us, 0);
     double known_us = (double)Upstream_waitUs(this, now_ms);
     this->wait_us = known_us + (excess_us - known_us) * WAIT_GAIN;
     this->wait_at_ms = now_ms;
 }
 
 guint
-Upstream_requests(const Upstream_t *this)
+Upstream_countRequests(const Upstream_t *this)
 {
-    return this->in_flight + this->others_requests + this->ticket_requests;
+    return this->in_flight + this->peer_requests + this->ticket_requests;
 }
 
 void
-Upstream_noteRun(Upstream_t *this, gint64 run_us)
+Upstream_noteRunTime(Upstream_t *this, gint64 run_us)
 {
     double gain = this->run_us > 0 ? RUN_GAIN : 1;
     this->run_us += ((double)run_us - this->run_us) * gain;
@@ -351,19 +353,19 @@
 }
 
 gboolean
-Upstream_noteFailure(Upstream_t *this, guint most, gint64 eject_ms,
+Upstream_noteFailure(Upstream_t *this, guint failures_max, gint64 eject_ms,
                      gint64 now_ms)
 {
     this->failures++;
     gboolean was_probe = this->probing;
     this->probing = FALSE;
-    if (this->failures < most && !was_probe) {
+    if (this->failures < failures_max && !was_probe) {
         return FALSE;
     }
-    guint doublings = MIN(this->ejections, MAX_EJECTION_DOUBLINGS);
+    guint doublings = MIN(this->ejections, EJECTION_DOUBLINGS_MAX);
     this->ejections++;
     this->ejected_until_ms = now_ms + (eject_ms << doublings);
-    drop_idle(this);
+    close_idle_connections(this);
     return TRUE;
 }
 
@@ -381,21 +383,22 @@
 }
 
 gboolean
-Upstream_isWarm(const Upstream_t *this, gint64 rest_ms, gint64 now_ms)
+Upstream_hasWarmConnection(const Upstream_t *this, gint64 idle_max_ms,
+                           gint64 now_ms)
 {
     const IdleConnection_t *idle = g_queue_peek_tail((GQueue *)&this->idle);
-    return idle && now_ms - idle->since_ms <= rest_ms;
+    return idle && now_ms - idle->since_ms <= idle_max_ms;
 }
 
 gboolean
-Upstream_canKeep(const Upstream_t *this)
+Upstream_canPoolConnection(const Upstream_t *this)
 {
     return !this->removed &&
            g_queue_get_length((GQueue *)&this->idle) < this->idle_max;
 }
 
 void
-Upstream_keepConnection(Upstream_t *this, struct evhttp_connection *connection,
+Upstream_poolConnection(Upstream_t *this, struct evhttp_connection *connection,
                         gint64 now_ms)
 {
     IdleConnection_t *idle = g_new0(IdleConnection_t, 1);
--- a/src/Upstream.h
+++ b/src/Upstream.h
@@ -3,9 +3,9 @@
 /**
  * DOC: Upstream
  *
- * One engine or plain service's instance as this router sees it: what is
- * declared of it, what is known of it now, and its idle connections. It is
- * counted by reference, since requests outlive a change of declarations.
+ * One upstream, an engine or an instance of a plain service, as this router
+ * sees it: its declaration, its current state and its idle connections. It is
+ * reference-counted, since requests can outlive a change of declarations.
  */
 #include <event2/event.h>
 #include <event2/http.h>
@@ -19,61 +19,62 @@
 
 /**
  * struct Upstream_t - one upstream
- * @name: as declared
- * @address: where it listens
- * @hall: hall that it stands in
+ * @name: declared name
+ * @address: address on which it listens
+ * @hall: hall in which it stands
  * @region: region of the hall
  * @role: engine or plain service
  * @serves: names of models or services, GString *
- * @slots: most open requests of this router
- * @hash: of the name, for agreement between routers
- * @incarnation: newest that was heard of, 0 for none yet
- * @weights: version that it last reported, may be empty
- * @leaving: gets no new work; never taken back for an incarnation
- * @leaving_ms: when this router learned so; 0 where it is not leaving
+ * @slots: maximum number of open requests of this router
+ * @hash: hash of the name, the same on all routers
+ * @incarnation: newest known incarnation, 0 for none yet
+ * @weights: version of weights that it last reported, may be empty
+ * @leaving: gets no new work; ends only with a newer incarnation
+ * @leaving_ms: when this router learned that it is leaving, 0 if it is not
  * @removed: no longer declared
- * @replaced: another instance was met at its address, so that it is gone and
- *     what it held with it
- * @in_flight: this router's open requests
+ * @replaced: another instance answered at its address, so that it has departed
+ *     and its state is lost
+ * @in_flight: open requests of this router
  * @pending_tokens: prompt tokens that this router sent and that are not yet
  *     computed
- * @reported_tokens: prompt tokens that it last said were waiting
- * @reported_running: streams that it last said were running
- * @reported_at_ms: when it said so
- * @prefill_us_per_token: learned time for one prompt token
- * @failures: in a row
- * @ejections: in a row, each longer than the one before
- * @ejected_until_ms: gets no work before, but for one probe after
- * @probing: a request after the ejection is under way
- * @live_since_ms: when this incarnation was first heard of, for slow start
- * @weights_rise: versions of its weights are numbers that only grow
- * @paused_until_ms: it refuses work until then, or until it has other weights
- * @unloading_since_ms: when it began to pause in order to change its weights,
- *     0 where it does not
- * @soon_until_ms: it is to change its weights before long; expected until then
- * @others_tokens: like pending_tokens, of the other routers as they told
- * @others_requests: their open requests
- * @ticket_tokens: like pending_tokens, of what was placed here for others
- * @ticket_requests: those requests that are open
- * @suspect: it was not reached; gets no work until it has answered a probe
- * @heard_doubt: it is suspect only because a peer did not reach it
- * @doubted_ms: when routers last told each other that it was not reached, by
- *     Upstream_noteDoubt(); 0 for never
- * @doubt_settled: routers have told each other since that it was reached
- * @unanswered: probes since it was last reached
- * @wait_us: learned wait for a first token beyond its own computation
- * @wait_at_ms: when that was learned; it fades
+ * @reported_tokens: waiting prompt tokens that it last reported
+ * @reported_running: running streams that it last reported
+ * @reported_at_ms: when it made that report
+ * @prefill_us_per_token: learned time to compute one prompt token
+ * @failures: consecutive failures
+ * @ejections: consecutive ejections; each lasts twice as long as the last, up
+ * to a maximum
+ * @ejected_until_ms: gets no work before, and one request as a probe after
+ * @probing: that request is in flight
+ * @live_since_ms: when this incarnation was first seen, for slow start
+ * @versions_increase: versions of its weights are numbers that only increase
+ * @paused_until_ms: refuses work until then, or until its weights change
+ * @unloading_since_ms: when it paused to change its weights, 0 if it has not
+ * @load_soon_until_ms: until when a load of other weights is expected to begin
+ * @peer_tokens: like @pending_tokens, for the other routers, as they reported
+ * @peer_requests: open requests of the other routers
+ * @ticket_tokens: like @pending_tokens, for requests that this router placed
+ *     here for others
+ * @ticket_requests: open requests among those
+ * @suspect: was unreachable; gets no work until it has answered a probe
+ * @suspected_by_peer: suspected only because a peer could not reach it
+ * @suspicion_reported_ms: when a suspicion was last exchanged with peers, see
+ *     Upstream_noteSuspicionReport(); 0 for never
+ * @suspicion_resolved: a router has reached it since, and the peers know
+ * @unanswered: failed probes since it was last reached
+ * @wait_us: learned wait for a first token beyond the request's computation
+ * @wait_at_ms: when @wait_us was learned; the value decays
  * @run_us: learned time from a request's first token to its end, 0 for none
- * @proved_ms: when it last answered anything, 0 for never
- * @limit: of the requests that it takes from all routers together
- * @rest: that it wants of this router
- * @memory: how far its cache has turned over
- * @link: over which cached prefixes come to it and leave it
- * @base: of its connections
- * @waiters: UpstreamWaiter_t that are not sent yet, or were sent
- * @idle: IdleConnection_t, the one used last at the tail
- * @idle_max: most of them
- * @references: by which it is held
+ * @last_answer_ms: when it last answered anything, 0 for never
+ * @limit: limit of the requests from all routers together
+ * @backoff: backoff that it asked of this router
+ * @memory: turnover of its cache
+ * @link: link over which cached prefixes are copied to and from it
+ * @base: event base of its connections
+ * @waiters: UpstreamWaiter_t of the requests that are assigned to it
+ * @idle: IdleConnection_t, the most recently used one at the tail
+ * @idle_max: maximum number of idle connections
+ * @references: reference count
  */
 typedef struct {
     GString *name;
@@ -102,25 +103,25 @@
     gint64 ejected_until_ms;
     gboolean probing;
     gint64 live_since_ms;
-    gboolean weights_rise;
+    gboolean versions_increase;
     gint64 paused_until_ms;
     gint64 unloading_since_ms;
-    gint64 soon_until_ms;
-    guint others_tokens;
-    guint others_requests;
+    gint64 load_soon_until_ms;
+    guint peer_tokens;
+    guint peer_requests;
     guint64 ticket_tokens;
     guint ticket_requests;
     gboolean suspect;
-    gboolean heard_doubt;
-    gint64 doubted_ms;
-    gboolean doubt_settled;
+    gboolean suspected_by_peer;
+    gint64 suspicion_reported_ms;
+    gboolean suspicion_resolved;
     guint unanswered;
     double wait_us;
     gint64 wait_at_ms;
     double run_us;
-    gint64 proved_ms;
+    gint64 last_answer_ms;
     UpstreamLimit_t limit;
-    UpstreamBackoff_t rest;
+    UpstreamBackoff_t backoff;
     EngineMemory_t memory;
     Link_t link;
 
@@ -131,24 +132,25 @@
     guint references;
 } Upstream_t;
 
-/** Upstream_create() - with one reference */
+/** Upstream_create() - create an upstream with one reference */
 Upstream_t *Upstream_create(struct event_base *base, const char *name,
                             const UpstreamSpec_t *spec, guint idle_max);
 
-/** Upstream_ref() - one more reference */
+/** Upstream_ref() - add a reference */
 Upstream_t *Upstream_ref(Upstream_t *this);
 
-/** Upstream_unref() - free it with its last reference */
+/** Upstream_unref() - drop a reference; the last one frees the upstream */
 void Upstream_unref(Upstream_t *this);
 
-/** Upstream_takesWork() - whether it is declared, not leaving and has slots */
+/** Upstream_takesWork() - whether the upstream is declared, is not leaving and
+ * has a free slot */
 gboolean Upstream_takesWork(const Upstream_t *this);
 
 /**
- * Upstream_isUsable() - whether new work should go to it now
+ * Upstream_isUsable() - whether new work may be sent to the upstream now
  *
- * It takes work, was reached, does not pause, and is not ejected or may be
- * probed again.
+ * It is usable if it takes work, is neither suspected nor paused, and is not
+ * ejected or is due for a probe.
  */
 gboolean Upstream_isUsable(const Upstream_t *this, gint64 now_ms);
 
@@ -157,143 +159,157 @@
 const char *Upstream_stateName(const Upstream_t *this, gint64 now_ms);
 
 /**
- * Upstream_noteIncarnation() - learn of an incarnation
+ * Upstream_noteIncarnation() - record an incarnation
  *
- * An older one than is known is passed over. A newer one voids the leaving
- * mark, the load, the waits, the pause, the limit and the ejection of the
- * older, what it held, and the connections to it.
+ * An incarnation older than the known one is ignored. A newer one resets the
+ * leaving mark, the reported load, the learned wait, the pause, the limit, the
+ * backoff, the ejection and the cache contents, and closes idle connections.
  *
- * Return: TRUE where it is news
+ * Return: TRUE if the incarnation was not known
  */
 gboolean Upstream_noteIncarnation(Upstream_t *this, guint64 incarnation,
                                   gint64 now_ms);
 
-/** An upstream that sheds is left alone for so long, in ms; it has a queue of
- * its own, which has to shrink first */
+/** Pause of an upstream that sheds a request, in ms; its own queue has to
+ * shrink first */
 #define UPSTREAM_SHED_PAUSE_MS 250
 
-/** Upstream_notePause() - it refuses work for so long at the most */
+/** Upstream_notePause() - record that the upstream refuses work, for at most
+ * @pause_ms */
 void Upstream_notePause(Upstream_t *this, gint64 pause_ms, gint64 now_ms);
 
-/** Upstream_noteUnloading() - the same, as its weights are to change */
+/** Upstream_noteUnloading() - record a pause for a change of weights */
 void Upstream_noteUnloading(Upstream_t *this, gint64 pause_ms, gint64 now_ms);
 
 /**
- * Upstream_noteSoon() - it is to change its weights, expected for so long
+ * Upstream_noteLoadSoon() - record that the upstream will load other weights
+ * @for_ms: time within which the load is expected to begin
  *
- * Return: whether that is news
+ * Return: FALSE if more than half of @for_ms is left of an earlier notice
  */
-gboolean Upstream_noteSoon(Upstream_t *this, gint64 for_ms, gint64 now_ms);
+gboolean Upstream_noteLoadSoon(Upstream_t *this, gint64 for_ms, gint64 now_ms);
 
 /**
- * Upstream_unloadingMs() - for how long it has paused to change its weights
+ * Upstream_unloadingMs() - time since the upstream paused to change its
+ * weights
  *
- * Return: 0 where it does not
+ * Return: 0 if it is not paused for that reason
  */
 gint64 Upstream_unloadingMs(const Upstream_t *this, gint64 now_ms);
 
 /**
- * Upstream_noteUnreached() - it gets no work until it has answered a probe
+ * Upstream_noteUnreachable() - suspect an upstream that this router could not
+ * reach
  *
- * Its idle connections are closed.
+ * The upstream gets no work until it has answered a probe. Its idle
+ * connections are closed.
  *
- * Return: TRUE where that is news
+ * Return: TRUE if it was not suspected before
  */
-gboolean Upstream_noteUnreached(Upstream_t *this);
+gboolean Upstream_noteUnreachable(Upstream_t *this);
 
-/** Upstream_noteHeardDoubt() - the same where only a peer did not reach it */
-void Upstream_noteHeardDoubt(Upstream_t *this);
+/** Upstream_notePeerSuspicion() - suspect an upstream that only a peer could
+ * not reach */
+void Upstream_notePeerSuspicion(Upstream_t *this);
 
 /**
- * Upstream_settleDoubt() - a router that probed it has reached it
+ * Upstream_resolveSuspicion() - record that a router has reached a suspected
+ * upstream with a probe
  *
- * It gets work again where only a peer had not reached it; what this router
- * found out for itself stays.
+ * The upstream gets work again if only a peer suspected it. A suspicion by
+ * this router itself stays.
  *
- * Return: FALSE where no doubt was told, or where this is known already
+ * Return: FALSE if no suspicion was exchanged with peers, or if the last one
+ * is resolved already
  */
-gboolean Upstream_settleDoubt(Upstream_t *this);
+gboolean Upstream_resolveSuspicion(Upstream_t *this);
 
 /**
- * Upstream_noteDoubt() - a doubt whether it is reached is told or heard
+ * Upstream_noteSuspicionReport() - record that a suspicion is sent to or
+ * received from peers
  *
- * Return: FALSE where another one was a short while ago; it says no more then
+ * Return: FALSE if the last such report is recent, so that this one adds
+ * nothing and is to be dropped
  */
-gboolean Upstream_noteDoubt(Upstream_t *this, gint64 now_ms);
+gboolean Upstream_noteSuspicionReport(Upstream_t *this, gint64 now_ms);
 
-/** Upstream_noteReached() - it answered something just now */
-void Upstream_noteReached(Upstream_t *this, gint64 now_ms);
+/** Upstream_noteReachable() - record an answer, which ends any suspicion */
+void Upstream_noteReachable(Upstream_t *this, gint64 now_ms);
 
 /**
- * Upstream_noteLeaving() - no new work for this incarnation
+ * Upstream_noteLeaving() - record that an incarnation takes no new work
  *
  * Requests that still wait for a connection to it are withdrawn.
  *
- * Return: TRUE where it is news
+ * Return: TRUE if it was not known to leave; FALSE also for a former
+ * incarnation
  */
 gboolean Upstream_noteLeaving(Upstream_t *this, guint64 incarnation,
                               gint64 now_ms);
 
 /**
- * Upstream_noteWeights() - the version that it is said to have
+ * Upstream_noteWeights() - record the version of the upstream's weights
  *
- * Where versions only rise, an older one is passed over: lists and peers lag
- * behind the upstream's own answers. A change ends a pause.
+ * If versions only increase, an older version is ignored, since lists and
+ * peers lag behind the upstream's own answers. A change ends a pause.
  *
- * Return: whether that is news
+ * Return: whether the version has changed
  */
 gboolean Upstream_noteWeights(Upstream_t *this, const char *weights);
 
 /**
- * Upstream_version() - the version of its weights as a number
+ * Upstream_weightsVersion() - the version of its weights as a number
  *
- * Return: 0 where it has none or it is no number
+ * Return: 0 if it has none or if it is not a number
  */
-guint64 Upstream_version(const Upstream_t *this);
+guint64 Upstream_weightsVersion(const Upstream_t *this);
 
 /**
- * Upstream_noteFirstToken() - learn how long a request waited there
- * @waited_us: from the attempt's start to its first token
- * @tokens: of its prompt that had to be computed
+ * Upstream_noteFirstToken() - learn the wait from a request's first token
+ * @waited_us: time from the attempt's start to its first token
+ * @tokens: prompt tokens that had to be computed
  */
 void Upstream_noteFirstToken(Upstream_t *this, gint64 waited_us, guint tokens,
                              gint64 now_ms);
 
-/** First token of a request that nothing holds up, beside its computation, in
- * us */
-#define UPSTREAM_LEAST_FIRST_US 20000
+/** Time to the first token of a request that does not wait, apart from the
+ * computation of its prompt, in us */
+#define UPSTREAM_MIN_FIRST_TOKEN_US 20000
 
-/** Upstream_leastUs() - until a first token where nothing holds it up */
-gint64 Upstream_leastUs(const Upstream_t *this, guint tokens);
+/** Upstream_minFirstTokenUs() - time to the first token of a request that does
+ * not wait, including the computation of @tokens */
+gint64 Upstream_minFirstTokenUs(const Upstream_t *this, guint tokens);
 
-/** Upstream_noteRun() - learn how long a request ran after its first token */
-void Upstream_noteRun(Upstream_t *this, gint64 run_us);
+/** Upstream_noteRunTime() - learn the time that requests run after their first
+ * token */
+void Upstream_noteRunTime(Upstream_t *this, gint64 run_us);
 
-/** Upstream_requests() - open requests there of all routers, as far as is
- * known here */
-guint Upstream_requests(const Upstream_t *this);
+/** Upstream_countRequests() - open requests of all routers at the upstream, as
+ * far as this router knows */
+guint Upstream_countRequests(const Upstream_t *this);
 
-/** Upstream_waitUs() - the wait that was learned, faded with its age */
+/** Upstream_waitUs() - the learned wait, decayed with its age */
 gint64 Upstream_waitUs(const Upstream_t *this, gint64 now_ms);
 
-/** Upstream_noteSuccess() - it answered; ends an ejection */
+/** Upstream_noteSuccess() - record a success, which ends an ejection */
 void Upstream_noteSuccess(Upstream_t *this);
 
 /**
- * Upstream_noteFailure() - it failed; may eject it
- * @most: failures in a row that eject
+ * Upstream_noteFailure() - record a failure; may eject the upstream
+ * @failures_max: consecutive failures that eject it
  * @eject_ms: length of the first ejection
  *
- * Return: TRUE where it is ejected now
+ * Return: TRUE if the failure ejects it
  */
-gboolean Upstream_noteFailure(Upstream_t *this, guint most, gint64 eject_ms,
-                              gint64 now_ms);
+gboolean Upstream_noteFailure(Upstream_t *this, guint failures_max,
+                              gint64 eject_ms, gint64 now_ms);
 
 /**
- * struct UpstreamWaiter_t - a request that goes to an upstream
- * @link: of the list that it is in; zeroed while it is in none
- * @withdraw: it must not be sent any more; nothing where it was sent
- * @owner: of @withdraw
+ * struct UpstreamWaiter_t - a request that is assigned to an upstream
+ * @link: link in the upstream's list; zeroed while in no list
+ * @withdraw: called if the request must no longer be sent; must do nothing if
+ *     it was sent already
+ * @owner: argument of @withdraw
  */
 typedef struct {
     GList link;
@@ -301,49 +317,52 @@
     void *owner;
 } UpstreamWaiter_t;
 
-/** Upstream_addWaiter() - it is withdrawn where the upstream takes no new work
- * before it is sent */
+/** Upstream_addWaiter() - register a request, to be withdrawn if the upstream
+ * stops taking new work before the request is sent */
 void Upstream_addWaiter(Upstream_t *this, UpstreamWaiter_t *waiter);
 
-/** Upstream_withdrawWaiters() - none of them is sent from now on, for
- * those that come after it is not asked */
+/** Upstream_withdrawWaiters() - withdraw all requests that are registered now;
+ * requests registered later are not affected */
 void Upstream_withdrawWaiters(Upstream_t *this);
 
-/** Upstream_removeWaiter() - it is over; may be called again */
+/** Upstream_removeWaiter() - unregister a request; does nothing if it is not
+ * registered */
 void Upstream_removeWaiter(Upstream_t *this, UpstreamWaiter_t *waiter);
 
-/** For Upstream_takeConnection(): however long a connection rested */
+/** For Upstream_takeConnection(): accept any idle connection */
 #define UPSTREAM_ANY_IDLE G_MAXINT64
-/** For Upstream_takeConnection(): only a new connection will do */
+/** For Upstream_takeConnection(): accept only a new connection */
 #define UPSTREAM_NO_IDLE (-1)
 
 /**
- * Upstream_takeConnection() - an idle connection or a new one
- * @idle_max_ms: an idle one must not have rested longer
+ * Upstream_takeConnection() - take an idle connection or create one
+ * @idle_max_ms: longest idle time of a connection to reuse
  * @now_ms: monotonic
  */
 struct evhttp_connection *
 Upstream_takeConnection(Upstream_t *this, gint64 idle_max_ms, gint64 now_ms);
 
 /**
- * Upstream_keepConnection() - give an idle connection back
- * @now_ms: monotonic, when its rest begins
+ * Upstream_poolConnection() - put a connection into the pool of idle ones
+ * @now_ms: start of its idle time, monotonic
  *
- * Must not be called from within a callback of the connection unless it is
- * certain that it is kept; see Upstream_canKeep().
+ * Must not be called from a callback of the connection unless
+ * Upstream_canPoolConnection() has returned TRUE.
  */
-void Upstream_keepConnection(Upstream_t *this,
+void Upstream_poolConnection(Upstream_t *this,
                              struct evhttp_connection *connection,
                              gint64 now_ms);
 
 /**
- * Upstream_isWarm() - whether a connection to it rested for a short while only
- * @rest_ms: longest rest
+ * Upstream_hasWarmConnection() - whether the pool has a recently used
+ * connection
+ * @idle_max_ms: longest idle time of such a connection
  */
-gboolean Upstream_isWarm(const Upstream_t *this, gint64 rest_ms,
-                         gint64 now_ms);
+gboolean Upstream_hasWarmConnection(const Upstream_t *this, gint64 idle_max_ms,
+                                    gint64 now_ms);
 
-/** Upstream_canKeep() - whether one more idle connection is wanted */
-gboolean Upstream_canKeep(const Upstream_t *this);
+/** Upstream_canPoolConnection() - whether the pool takes one more connection
+ */
+gboolean Upstream_canPoolConnection(const Upstream_t *this);
 
 #endif
--- a/src/UpstreamGate.h
+++ b/src/UpstreamGate.h
@@ -3,46 +3,49 @@
 /**
  * DOC: UpstreamGate
  *
- * One request at the limits that upstreams have named. Before it is sent to
- * such an upstream, room for it is asked for (RateLimits.h), which is the same
- * for first attempts, repeats and resumes. Room that was not used is given
- * back.
+ * One request's passage through the rate limits that upstreams advertise.
+ * Each attempt, whether first, retry or resume, needs capacity of the rate
+ * limit (RateLimits.h) before it is sent to such an upstream. Unused capacity
+ * is refunded.
  */
 #include "RateGate.h"
 #include "UpstreamLimits.h"
 
-/** Upstreams without room that a request asks before it goes where there is no
- * limit: each costs a round trip between routers */
+/** Refusals by upstreams without capacity after which a request goes only to
+ * upstreams without a limit; each refusal costs a round trip between routers
+ */
 #define UPSTREAM_GATE_REFUSALS_MAX 2
 
 /**
- * enum UpstreamGateStep_t - what came of a question
- * @UPSTREAM_GATE_OPEN: the request may go there now, once
- * @UPSTREAM_GATE_FULL: there is no room
- * @UPSTREAM_GATE_ASKED: it is not known yet
+ * enum UpstreamGateResult_t - result of a request for capacity
+ * @UPSTREAM_GATE_OPEN: one attempt may be sent to the upstream now
+ * @UPSTREAM_GATE_FULL: the upstream has no capacity
+ * @UPSTREAM_GATE_PENDING: not decided yet; the callback gets the result
  */
 typedef enum {
     UPSTREAM_GATE_OPEN,
     UPSTREAM_GATE_FULL,
-    UPSTREAM_GATE_ASKED,
-} UpstreamGateStep_t;
+    UPSTREAM_GATE_PENDING,
+} UpstreamGateResult_t;
 
-/** UpstreamGateDone_t - the answer to what was UPSTREAM_GATE_ASKED */
-typedef void (*UpstreamGateDone_t)(void *owner, UpstreamGateStep_t step);
+/** UpstreamGateDone_t - receives the result after UPSTREAM_GATE_PENDING */
+typedef void (*UpstreamGateDone_t)(void *owner, UpstreamGateResult_t result);
 
 /**
- * struct UpstreamGate_t - of one request; zeroed before the first question
- * @limits: that learn of refusals
- * @request_id: of the request, its owner's text
- * @rate: the question
- * @subject: its subject
- * @upstream: that is asked about, or that has room; held, or NULL
- * @full: the last one that had none, held, or NULL
- * @refusals: by upstreams without room
- * @answered: by the time UpstreamGate_enter() returns
- * @has_room: @upstream has room for one attempt
- * @done: for a later answer
- * @owner: for @done
+ * struct UpstreamGate_t - state of one request; zeroed before first use
+ * @limits: is notified of refusals
+ * @request_id: id of the request; the text belongs to the request
+ * @rate: passage through the rate limit of @upstream
+ * @subject: subject of the rate limit; names @upstream and its incarnation
+ * @upstream: upstream whose capacity is requested or acquired, or NULL; holds
+ *     a reference
+ * @full: last upstream that had no capacity, or NULL; holds a reference
+ * @refusals: number of refusals for lack of capacity
+ * @answered: the verdict came, or UpstreamGate_acquire() has returned; a
+ *     verdict after that is passed to @done
+ * @has_capacity: capacity for one attempt at @upstream is acquired
+ * @done: called with a result that comes later
+ * @owner: first argument of @done
  */
 typedef struct {
     UpstreamLimits_t *limits;
@@ -53,18 +56,18 @@
     Upstream_t *full;
     guint refusals;
     gboolean answered;
-    gboolean has_room;
+    gboolean has_capacity;
     UpstreamGateDone_t done;
     void *owner;
 } UpstreamGate_t;
 
 /**
- * struct UpstreamGateSpec_t - a question
- * @limits: that learn of a refusal
- * @rates: that know how much is left
- * @request_id: must outlive the gate
- * @done: called where the answer comes later
- * @owner: for @done
+ * struct UpstreamGateSpec_t - arguments of UpstreamGate_acquire()
+ * @limits: is notified of refusals
+ * @rates: rate limits that decide
+ * @request_id: id of the request; must outlive the gate
+ * @done: called with a result that comes later
+ * @owner: first argument of @done
  */
 typedef struct {
     UpstreamLimits_t *limits;
@@ -74,19 +77,26 @@
     void *owner;
 } UpstreamGateSpec_t;
 
-/** UpstreamGate_enter() - ask for room for one attempt at an upstream */
-UpstreamGateStep_t UpstreamGate_enter(UpstreamGate_t *this,
-                                      Upstream_t *upstream,
-                                      const UpstreamGateSpec_t *spec);
+/**
+ * UpstreamGate_acquire() - request capacity for one attempt at an upstream
+ *
+ * Return: UPSTREAM_GATE_OPEN also if the upstream has no limit, or if capacity
+ * at it was acquired before and not used
+ */
+UpstreamGateResult_t UpstreamGate_acquire(UpstreamGate_t *this,
+                                          Upstream_t *upstream,
+                                          const UpstreamGateSpec_t *spec);
 
-/** UpstreamGate_permitted() - the upstream that has room, or NULL */
+/** UpstreamGate_permitted() - the upstream at which the request has capacity,
+ * or NULL */
 const Upstream_t *UpstreamGate_permitted(const UpstreamGate_t *this);
 
-/** UpstreamGate_use() - an attempt goes to an upstream now; room at another
- * one is given back */
-void UpstreamGate_use(UpstreamGate_t *this, const Upstream_t *upstream);
+/** UpstreamGate_consume() - record that an attempt is sent to an upstream;
+ * refunds capacity at another upstream */
+void UpstreamGate_consume(UpstreamGate_t *this, const Upstream_t *upstream);
 
-/** UpstreamGate_leave() - nothing is asked or held any more */
-void UpstreamGate_leave(UpstreamGate_t *this);
+/** UpstreamGate_release() - cancel a pending request for capacity, refund
+ * unused capacity and drop the references to upstreams */
+void UpstreamGate_release(UpstreamGate_t *this);
 
 #endif
--- a/src/UpstreamListing.c
+++ b/src/UpstreamListing.c
@@ -168,7 +168,7 @@
         return;
     }
     Hint_t hint = {HINT_LOADED, upstream->hash,
-                   (guint)Upstream_version(upstream)};
+                   (guint)Upstream_weightsVersion(upstream)};
     HintFlood_broadcast(this->spec.hints, &hint);
 }
 
@@ -264,7 +264,7 @@
         note_new(this, name, entry);
         Upstream_noteIncarnation(upstream, ListedUpstream_incarnation(entry),
                                  Clock_nowMs());
-        upstream->weights_rise = TRUE;
+        upstream->versions_increase = TRUE;
         upstream->prefill_us_per_token = speed;
     }
     else {
--- a/src/UpstreamNotice.c
+++ b/src/UpstreamNotice.c
@@ -7,7 +7,7 @@
 #include "UpstreamBackoff.h"
 
 #define MS_PER_S 1000
-/* Longer texts are no time that anybody means. */
+/* Longer texts are unreadable: no meaningful time is that long. */
 #define SECONDS_TEXT_MAX 32
 
 static NoticeFlag_t
@@ -40,24 +40,24 @@
     return found;
 }
 
-static RestNotice_t
+static BackoffNotice_t
 read_seconds(const char *text)
 {
     char copy[SECONDS_TEXT_MAX + 1];
     if (g_strlcpy(copy, text, sizeof(copy)) >= sizeof(copy) ||
         !Decimal_isNumber(g_strstrip(copy))) {
-        return (RestNotice_t){.kind = REST_UNREADABLE};
+        return (BackoffNotice_t){.kind = BACKOFF_UNREADABLE};
     }
     double ms = g_ascii_strtod(copy, NULL) * MS_PER_S;
-    return (RestNotice_t){REST_ASKED,
-                          (gint64)MIN(ms, (double)UPSTREAM_BACKOFF_MAX_MS)};
+    return (BackoffNotice_t){BACKOFF_REQUESTED,
+                             (gint64)MIN(ms, (double)UPSTREAM_BACKOFF_MAX_MS)};
 }
 
-/* Other answers with this header tell the caller when to come back. */
-static RestNotice_t
-find_rest(const struct evkeyvalq *headers, int status, const char *name)
+/* In answers of other statuses, this header is meant for the caller. */
+static BackoffNotice_t
+find_backoff(const struct evkeyvalq *headers, int status, const char *name)
 {
-    RestNotice_t found = {.kind = REST_ABSENT};
+    BackoffNotice_t found = {.kind = BACKOFF_ABSENT};
     const struct evkeyval *header = NULL;
     if (status != HTTP_SERVUNAVAIL) {
         return found;
@@ -67,12 +67,12 @@
         if (g_ascii_strcasecmp(header->key, name) != 0) {
             continue;
         }
-        RestNotice_t rest = read_seconds(header->value);
-        if (found.kind != REST_ABSENT &&
-            (found.kind != rest.kind || found.for_ms != rest.for_ms)) {
-            return (RestNotice_t){.kind = REST_UNREADABLE};
+        BackoffNotice_t backoff = read_seconds(header->value);
+        if (found.kind != BACKOFF_ABSENT &&
+            (found.kind != backoff.kind || found.for_ms != backoff.for_ms)) {
+            return (BackoffNotice_t){.kind = BACKOFF_UNREADABLE};
         }
-        found = rest;
+        found = backoff;
     }
     return found;
 }
@@ -84,6 +84,7 @@
     return (UpstreamNotice_t){
         .limit = AdvertisedLimit_find(headers, form->headers[NOTICE_LIMIT]),
         .leaving = find_flag(headers, form->headers[NOTICE_LEAVING]),
-        .rest = find_rest(headers, status, form->headers[NOTICE_REST]),
+        .backoff =
+            find_backoff(headers, status, form->headers[NOTICE_BACKOFF]),
     };
 }
--- a/src/UpstreamNotice.h
+++ b/src/UpstreamNotice.h
@@ -3,30 +3,32 @@
 /**
  * DOC: UpstreamNotice
  *
- * What an answer says of the upstream that gave it, apart from the request.
- * Any answer may: also a refusal, or that of a health check. A form on the
- * wire names the headers that say it.
+ * Parses the notices in an answer's headers: what an upstream states about
+ * itself, apart from the request. Any answer can carry notices, including
+ * refusals and answers to health checks. The wire format defines the names of
+ * the headers.
  */
 #include "AdvertisedLimit.h"
 
 /**
- * enum NoticeKind_t - what upstreams say of themselves
- * @NOTICE_LIMIT: how many requests a second they take from all routers
- * @NOTICE_LEAVING: that they are about to end
- * @NOTICE_REST: for how long they want nothing more, as they refuse
+ * enum NoticeKind_t - kinds of notices
+ * @NOTICE_LIMIT: requests per second that the upstream takes from all routers
+ * @NOTICE_LEAVING: the upstream is about to end
+ * @NOTICE_BACKOFF: time for which an upstream that refuses a request wants no
+ *     further requests
  */
 typedef enum {
     NOTICE_LIMIT,
     NOTICE_LEAVING,
-    NOTICE_REST,
+    NOTICE_BACKOFF,
     NOTICE_KIND_COUNT,
 } NoticeKind_t;
 
 /**
- * struct UpstreamNoticeForm_t - how a form says it
- * @headers: name of the header, for each kind
- * @misdirected_status: of an answer by another upstream that has the address;
- *     0 for none
+ * struct UpstreamNoticeForm_t - notices in a wire format
+ * @headers: name of the header of each kind
+ * @misdirected_status: HTTP status with which another upstream that has taken
+ *     over the address answers; 0 for none
  */
 typedef struct {
     const char *headers[NOTICE_KIND_COUNT];
@@ -34,10 +36,11 @@
 } UpstreamNoticeForm_t;
 
 /**
- * enum NoticeFlag_t - a header that is a flag
- * @FLAG_UNSET: it is missing or 0
- * @FLAG_SET: it is 1
- * @FLAG_UNREADABLE: it is anything else, or both
+ * enum NoticeFlag_t - value of a header that is a flag
+ * @FLAG_UNSET: the header is missing or 0
+ * @FLAG_SET: the header is 1
+ * @FLAG_UNREADABLE: the header has another value, or occurs with different
+ *     values
  */
 typedef enum {
     FLAG_UNSET,
@@ -46,40 +49,41 @@
 } NoticeFlag_t;
 
 /**
- * enum RestNoticeKind_t - what an answer says of a rest
- * @REST_ABSENT: nothing, or it is no answer that may ask for one
- * @REST_ASKED: how long it is to be
- * @REST_UNREADABLE: something that is no number of seconds, or two of them
+ * enum BackoffNoticeKind_t - whether an answer asks for a backoff
+ * @BACKOFF_ABSENT: no header, or an answer of a status that cannot ask for one
+ * @BACKOFF_REQUESTED: the answer asks for a backoff
+ * @BACKOFF_UNREADABLE: the header is not a number of seconds, or occurs with
+ *     different values
  */
 typedef enum {
-    REST_ABSENT,
-    REST_ASKED,
-    REST_UNREADABLE,
-} RestNoticeKind_t;
+    BACKOFF_ABSENT,
+    BACKOFF_REQUESTED,
+    BACKOFF_UNREADABLE,
+} BackoffNoticeKind_t;
 
 /**
- * struct RestNotice_t - the same in detail
- * @kind: what the answer says
- * @for_ms: from the answer on; 0 where none is asked for
+ * struct BackoffNotice_t - backoff that an answer asks for
+ * @kind: whether it asks for one
+ * @for_ms: length, starting with the answer; 0 if none is asked for
  */
 typedef struct {
-    RestNoticeKind_t kind;
+    BackoffNoticeKind_t kind;
     gint64 for_ms;
-} RestNotice_t;
+} BackoffNotice_t;
 
 /**
- * struct UpstreamNotice_t - of one answer
- * @limit: of requests
- * @leaving: whether it is about to end
- * @rest: that it asks for
+ * struct UpstreamNotice_t - notices of one answer
+ * @limit: request rate limit
+ * @leaving: whether the upstream is about to end
+ * @backoff: backoff that the upstream asks for
  */
 typedef struct {
     AdvertisedLimit_t limit;
     NoticeFlag_t leaving;
-    RestNotice_t rest;
+    BackoffNotice_t backoff;
 } UpstreamNotice_t;
 
-/** UpstreamNotice_read() - from the status and the headers of an answer */
+/** UpstreamNotice_read() - parse the notices in an answer's headers */
 UpstreamNotice_t UpstreamNotice_read(const UpstreamNoticeForm_t *form,
                                      int status,
                                      const struct evkeyvalq *headers);
--- a/src/UpstreamNotices.c
+++ b/src/UpstreamNotices.c
@@ -3,24 +3,24 @@
 #include "Clock.h"
 #include "Log.h"
 
-/* Headers that can't be read are logged no more often. */
+/* Minimum interval between log lines about unreadable headers. */
 #define UNREADABLE_LOG_MS 10000
 
 struct UpstreamNotices {
     UpstreamNoticesSpec_t spec;
-    NoticeNews_t *news;
-    gint64 unreadable_ms; /* when one was last logged, 0 for never */
+    NoticeUpdates_t *updates;
+    gint64 unreadable_ms; /* when an unreadable header was last logged, or 0 */
 };
 
-/* Both functions return whether there is news. @take_fact is NULL for what
- * holds for one router alone. */
+/* Both functions return whether the state has changed. @apply_fact is NULL for
+ * kinds that are not shared. */
 typedef struct {
-    NoticeTerms_t terms;
-    gboolean (*take)(UpstreamNotices_t *this, const NoticeOrigin_t *origin,
-                     const UpstreamNotice_t *notice);
-    gboolean (*take_fact)(const UpstreamNotices_t *this, Upstream_t *upstream,
-                          const NoticeFact_t *fact);
-} NoticeRow_t;
+    NoticeScope_t scope;
+    gboolean (*apply)(UpstreamNotices_t *this, const NoticeOrigin_t *origin,
+                      const UpstreamNotice_t *notice);
+    gboolean (*apply_fact)(const UpstreamNotices_t *this, Upstream_t *upstream,
+                           const NoticeFact_t *fact);
+} NoticeHandler_t;
 
 NoticeOrigin_t
 NoticeOrigin_begin(Upstream_t *upstream, const char *request_id)
@@ -34,10 +34,11 @@
 }
 
 static void
-count(const UpstreamNotices_t *this, const char *kind, const char *by)
+count_notice(const UpstreamNotices_t *this, const char *kind,
+             const char *source)
 {
     g_autofree char *labels =
-        g_strdup_printf("kind=\"%s\",by=\"%s\"", kind, by);
+        g_strdup_printf("kind=\"%s\",by=\"%s\"", kind, source);
     Counters_add(this->spec.counters, "upstream_notices_total", labels, 1);
 }
 
@@ -51,14 +52,14 @@
     Log_number("sent_age_ms", Clock_nowMs() - origin->sent_ms);
 }
 
-/* An answer to a call of the router's own that names no limit is no proof that
- * there is none. */
+/* An answer to a call by the router itself that advertises no limit does not
+ * prove that there is none, so that it does not lift the limit. */
 static gboolean
-take_limit(UpstreamNotices_t *this, const NoticeOrigin_t *origin,
-           const UpstreamNotice_t *notice)
+apply_limit(UpstreamNotices_t *this, const NoticeOrigin_t *origin,
+            const UpstreamNotice_t *notice)
 {
-    gboolean is_own_call = origin->request_id == NULL;
-    if (is_own_call && notice->limit.kind == LIMIT_ABSENT) {
+    gboolean is_router_call = origin->request_id == NULL;
+    if (is_router_call && notice->limit.kind == LIMIT_ABSENT) {
         return FALSE;
     }
     return UpstreamLimits_noteAnswer(this->spec.limits, origin->upstream,
@@ -67,32 +68,32 @@
 }
 
 static gboolean
-take_limit_fact(const UpstreamNotices_t *this, Upstream_t *upstream,
-                const NoticeFact_t *fact)
+apply_limit_fact(const UpstreamNotices_t *this, Upstream_t *upstream,
+                 const NoticeFact_t *fact)
 {
     return UpstreamLimits_applyFact(this->spec.limits, upstream, &fact->limit);
 }
 
 static gboolean
-is_limited(const Upstream_t *upstream, gint64 now_ms)
+has_limit(const Upstream_t *upstream, gint64 now_ms)
 {
     (void)now_ms;
     return upstream->limit.is_named;
 }
 
-/* @origin is NULL for a peer's word. */
+/* @origin is NULL for a fact from a peer. */
 static gboolean
 note_leaving(const UpstreamNotices_t *this, Upstream_t *upstream,
-             const NoticeOrigin_t *origin, const char *by)
+             const NoticeOrigin_t *origin, const char *source)
 {
     if (!Upstream_noteLeaving(upstream, upstream->incarnation,
                               Clock_nowMs())) {
         return FALSE;
     }
-    count(this, "leaving", by);
+    count_notice(this, "leaving", source);
     Log_begin(LOG_LEVEL_INFO, "upstream_leaving");
     Log_text("upstream", upstream->name->str);
-    Log_text("reason", by);
+    Log_text("reason", source);
     if (origin) {
         log_origin(origin);
     }
@@ -105,7 +106,7 @@
                 const char *kind)
 {
     gint64 now_ms = Clock_nowMs();
-    count(this, kind, "unreadable");
+    count_notice(this, kind, "unreadable");
     if (this->unreadable_ms > 0 &&
         now_ms - this->unreadable_ms < UNREADABLE_LOG_MS) {
         return;
@@ -119,8 +120,8 @@
 }
 
 static gboolean
-take_leaving(UpstreamNotices_t *this, const NoticeOrigin_t *origin,
-             const UpstreamNotice_t *notice)
+apply_leaving(UpstreamNotices_t *this, const NoticeOrigin_t *origin,
+              const UpstreamNotice_t *notice)
 {
     if (notice->leaving == FLAG_UNREADABLE) {
         note_unreadable(this, origin, "leaving");
@@ -130,8 +131,8 @@
 }
 
 static gboolean
-take_leaving_fact(const UpstreamNotices_t *this, Upstream_t *upstream,
-                  const NoticeFact_t *fact)
+apply_leaving_fact(const UpstreamNotices_t *this, Upstream_t *upstream,
+                   const NoticeFact_t *fact)
 {
     return fact->leaving && note_leaving(this, upstream, NULL, "peer");
 }
@@ -144,77 +145,78 @@
 }
 
 static gboolean
-take_rest(UpstreamNotices_t *this, const NoticeOrigin_t *origin,
-          const UpstreamNotice_t *notice)
+apply_backoff(UpstreamNotices_t *this, const NoticeOrigin_t *origin,
+              const UpstreamNotice_t *notice)
 {
     Upstream_t *upstream = origin->upstream;
     gint64 now_ms = Clock_nowMs();
-    if (notice->rest.kind == REST_UNREADABLE) {
+    if (notice->backoff.kind == BACKOFF_UNREADABLE) {
         note_unreadable(this, origin, "rest");
     }
-    if (notice->rest.kind != REST_ASKED ||
-        !UpstreamBackoff_note(&upstream->rest, notice->rest.for_ms, now_ms)) {
+    if (notice->backoff.kind != BACKOFF_REQUESTED ||
+        !UpstreamBackoff_note(&upstream->backoff, notice->backoff.for_ms,
+                              now_ms)) {
         return FALSE;
     }
     Upstream_withdrawWaiters(upstream);
-    count(this, "rest", "answer");
+    count_notice(this, "rest", "answer");
     Log_begin(LOG_LEVEL_INFO, "upstream_rests");
     Log_text("upstream", upstream->name->str);
-    Log_number("asked_ms", notice->rest.for_ms);
-    Log_number("for_ms", UpstreamBackoff_leftMs(&upstream->rest, now_ms));
+    Log_number("asked_ms", notice->backoff.for_ms);
+    Log_number("for_ms", UpstreamBackoff_leftMs(&upstream->backoff, now_ms));
     log_origin(origin);
     Log_end();
     return TRUE;
 }
 
 static gboolean
-is_resting(const Upstream_t *upstream, gint64 now_ms)
+is_backing_off(const Upstream_t *upstream, gint64 now_ms)
 {
-    return UpstreamBackoff_leftMs(&upstream->rest, now_ms) > 0;
+    return UpstreamBackoff_leftMs(&upstream->backoff, now_ms) > 0;
 }
 
-static const NoticeRow_t rows[NOTICE_KIND_COUNT] = {
+static const NoticeHandler_t handlers[NOTICE_KIND_COUNT] = {
     [NOTICE_LIMIT] =
         {
-            .terms = {.name = "limit",
+            .scope = {.name = "limit",
                       .is_shared = TRUE,
                       .ends_by_answer = TRUE,
-                      .holds = is_limited},
-            .take = take_limit,
-            .take_fact = take_limit_fact,
+                      .holds = has_limit},
+            .apply = apply_limit,
+            .apply_fact = apply_limit_fact,
         },
     [NOTICE_LEAVING] =
         {
-            .terms = {.name = "leaving",
+            .scope = {.name = "leaving",
                       .is_shared = TRUE,
                       .holds = is_leaving},
-            .take = take_leaving,
-            .take_fact = take_leaving_fact,
+            .apply = apply_leaving,
+            .apply_fact = apply_leaving_fact,
         },
-    [NOTICE_REST] =
+    [NOTICE_BACKOFF] =
         {
-            .terms = {.name = "rest", .holds = is_resting},
-            .take = take_rest,
+            .scope = {.name = "rest", .holds = is_backing_off},
+            .apply = apply_backoff,
         },
 };
 
-const NoticeTerms_t *
-UpstreamNotices_terms(NoticeKind_t kind)
+const NoticeScope_t *
+UpstreamNotices_scope(NoticeKind_t kind)
 {
-    return &rows[kind].terms;
+    return &handlers[kind].scope;
 }
 
 static gboolean
-take_fact(void *owner, Upstream_t *upstream, const NoticeFact_t *fact)
+apply_fact(void *owner, Upstream_t *upstream, const NoticeFact_t *fact)
 {
     const UpstreamNotices_t *this = owner;
-    gboolean is_news = FALSE;
+    gboolean is_new = FALSE;
     for (guint kind = 0; kind < NOTICE_KIND_COUNT; kind++) {
-        if (rows[kind].terms.is_shared) {
-            is_news = rows[kind].take_fact(this, upstream, fact) || is_news;
+        if (handlers[kind].scope.is_shared) {
+            is_new = handlers[kind].apply_fact(this, upstream, fact) || is_new;
         }
     }
-    return is_news;
+    return is_new;
 }
 
 UpstreamNotices_t *
@@ -222,27 +224,28 @@
                        const UpstreamNoticesSpec_t *spec)
 {
     UpstreamNotices_t *this = g_new0(UpstreamNotices_t, 1);
-    NoticeNewsSpec_t news = {
+    NoticeUpdatesSpec_t updates = {
         .membership = spec->membership,
         .upstreams = spec->upstreams,
-        .take = take_fact,
+        .handler = apply_fact,
         .owner = this,
     };
     this->spec = *spec;
-    this->news = NoticeNews_create(base, &news);
+    this->updates = NoticeUpdates_create(base, &updates);
     return this;
 }
 
 void
 UpstreamNotices_destroy(UpstreamNotices_t *this)
 {
-    NoticeNews_destroy(this->news);
+    NoticeUpdates_destroy(this->updates);
     g_free(this);
 }
 
-/* What was asked of a former start says nothing of the one that is there. */
+/* An answer to a request that was sent to a former incarnation says nothing
+ * about the current one. */
 static gboolean
-is_of_former_start(const NoticeOrigin_t *origin)
+is_of_former_incarnation(const NoticeOrigin_t *origin)
 {
     if (origin->incarnation == 0 ||
         origin->incarnation == origin->upstream->incarnation) {
@@ -256,55 +259,54 @@
 }
 
 void
-UpstreamNotices_take(UpstreamNotices_t *this, const NoticeOrigin_t *origin,
-                     const UpstreamNotice_t *notice)
+UpstreamNotices_apply(UpstreamNotices_t *this, const NoticeOrigin_t *origin,
+                      const UpstreamNotice_t *notice)
 {
-    gboolean is_news = FALSE;
-    if (is_of_former_start(origin)) {
+    gboolean is_new = FALSE;
+    if (is_of_former_incarnation(origin)) {
         return;
     }
     for (guint kind = 0; kind < NOTICE_KIND_COUNT; kind++) {
-        const NoticeRow_t *row = &rows[kind];
-        gboolean told = row->take(this, origin, notice);
-        is_news = (told && row->terms.is_shared) || is_news;
+        const NoticeHandler_t *handler = &handlers[kind];
+        gboolean has_changed = handler->apply(this, origin, notice);
+        is_new = (has_changed && handler->scope.is_shared) || is_new;
     }
-    if (is_news) {
-        NoticeNews_tell(this->news, origin->upstream);
+    if (is_new) {
+        NoticeUpdates_broadcast(this->updates, origin->upstream);
     }
 }
 
 void
-UpstreamNotices_takeAnswer(UpstreamNotices_t *this,
-                           const NoticeOrigin_t *origin,
-                           const HttpAnswer_t *answer)
+UpstreamNotices_applyAnswer(UpstreamNotices_t *this,
+                            const NoticeOrigin_t *origin,
+                            const HttpAnswer_t *answer)
 {
     if (!this || answer->status == this->spec.form->misdirected_status) {
         return;
     }
     UpstreamNotice_t notice =
         UpstreamNotice_read(this->spec.form, answer->status, answer->headers);
-    UpstreamNotices_take(this, origin, &notice);
+    UpstreamNotices_apply(this, origin, &notice);
 }
 
 void
 UpstreamNotices_noteLeaving(UpstreamNotices_t *this,
-                            const NoticeOrigin_t *origin, const char *by)
+                            const NoticeOrigin_t *origin, const char *source)
 {
-    if (!is_of_former_start(origin) &&
-        note_leaving(this, origin->upstream, origin, by)) {
-        NoticeNews_tell(this->news, origin->upstream);
+    if (!is_of_former_incarnation(origin) &&
+        note_leaving(this, origin->upstream, origin, source)) {
+        NoticeUpdates_broadcast(this->updates, origin->upstream);
     }
 }
 
 void
-UpstreamNotices_introduce(const UpstreamNotices_t *this, Member_t *member)
+UpstreamNotices_syncPeer(const UpstreamNotices_t *this, Member_t *member)
 {
-    NoticeNews_introduce(this->news, member);
+    NoticeUpdates_syncPeer(this->updates, member);
 }
 
 void
-UpstreamNotices_takeNews(UpstreamNotices_t *this,
-                         const Wt__NoticeNews *message)
+UpstreamNotices_receive(UpstreamNotices_t *this, const Wt__NoticeNews *message)
 {
-    NoticeNews_take(this->news, message);
+    NoticeUpdates_receive(this->updates, message);
 }
--- a/src/UpstreamNotices.h
+++ b/src/UpstreamNotices.h
@@ -3,12 +3,12 @@
 /**
  * DOC: UpstreamNotices
  *
- * Takes in what upstreams say of themselves in their answers, whichever part
- * of the router got the answer, and tells the other routers what holds for
- * them too (NoticeNews.h).
+ * Applies the notices in upstreams' answers, whichever part of the router
+ * receives the answer, and sends those that concern all routers to the peers
+ * (NoticeUpdates.h).
  */
 #include "HttpCall.h"
-#include "NoticeNews.h"
+#include "NoticeUpdates.h"
 #include "UpstreamLimits.h"
 #include "UpstreamNotice.h"
 
@@ -16,12 +16,13 @@
 typedef struct UpstreamNotices UpstreamNotices_t;
 
 /**
- * struct UpstreamNoticesSpec_t - what it needs; all must outlive it
+ * struct UpstreamNoticesSpec_t - dependencies, which must outlive the
+ * UpstreamNotices_t
  * @membership: the other routers
- * @upstreams: that speak
- * @limits: take their limits
- * @counters: of what is learned
- * @form: how answers to the router's own calls say it
+ * @upstreams: upstreams that notices are about
+ * @limits: learns the limits of upstreams
+ * @counters: counts notices
+ * @form: wire format of answers to calls by the router itself
  */
 typedef struct {
     Membership_t *membership;
@@ -32,30 +33,32 @@
 } UpstreamNoticesSpec_t;
 
 /**
- * struct NoticeTerms_t - for whom a kind of notice holds, and how long
+ * struct NoticeScope_t - which routers a kind of notice applies to, and for
+ * how long
  *
- * A new start of the upstream ends all of them.
- * @name: for logs and counters
- * @is_shared: all routers hold to it; else the one that was told
- * @ends_by_answer: an answer to a later request that does not say it ends it
- * @holds: whether one holds now
+ * A new incarnation of the upstream ends notices of all kinds.
+ * @name: name in logs and counters
+ * @is_shared: applies to all routers, else to the one that received it
+ * @ends_by_answer: ends with an answer to a later request that lacks it
+ * @holds: whether a notice of this kind is in effect
  */
 typedef struct {
     const char *name;
     gboolean is_shared;
     gboolean ends_by_answer;
     gboolean (*holds)(const Upstream_t *upstream, gint64 now_ms);
-} NoticeTerms_t;
+} NoticeScope_t;
 
-/** UpstreamNotices_terms() - of a kind below NOTICE_KIND_COUNT */
-const NoticeTerms_t *UpstreamNotices_terms(NoticeKind_t kind);
+/** UpstreamNotices_scope() - scope of a kind, which must be below
+ * NOTICE_KIND_COUNT */
+const NoticeScope_t *UpstreamNotices_scope(NoticeKind_t kind);
 
 /**
- * struct NoticeOrigin_t - which answer says something
- * @upstream: that was asked
- * @incarnation: that it had, as far as was known, when it was asked
- * @sent_ms: when it was asked, monotonic
- * @request_id: of the request, or NULL for a call of the router's own
+ * struct NoticeOrigin_t - the request or call whose answer carries a notice
+ * @upstream: upstream to which it was sent
+ * @incarnation: incarnation of the upstream known then, 0 for none
+ * @sent_ms: when it was sent, monotonic
+ * @request_id: id of the request, or NULL for a call by the router itself
  */
 typedef struct {
     Upstream_t *upstream;
@@ -64,42 +67,44 @@
     const char *request_id;
 } NoticeOrigin_t;
 
-/** NoticeOrigin_begin() - an upstream is asked now */
+/** NoticeOrigin_begin() - origin of a request that is sent now */
 NoticeOrigin_t NoticeOrigin_begin(Upstream_t *upstream,
                                   const char *request_id);
 
-/** UpstreamNotices_create() - nothing is known */
+/** UpstreamNotices_create() - start without notices */
 UpstreamNotices_t *UpstreamNotices_create(struct event_base *base,
                                           const UpstreamNoticesSpec_t *spec);
 
 /** UpstreamNotices_destroy() - free it */
 void UpstreamNotices_destroy(UpstreamNotices_t *this);
 
-/** UpstreamNotices_take() - an upstream has answered */
-void UpstreamNotices_take(UpstreamNotices_t *this,
-                          const NoticeOrigin_t *origin,
-                          const UpstreamNotice_t *notice);
+/** UpstreamNotices_apply() - apply the notices of an answer; ignored if the
+ * request was sent to a former incarnation */
+void UpstreamNotices_apply(UpstreamNotices_t *this,
+                           const NoticeOrigin_t *origin,
+                           const UpstreamNotice_t *notice);
 
-/** UpstreamNotices_takeAnswer() - it has answered a call of the router's own;
- * nothing where @this is NULL */
-void UpstreamNotices_takeAnswer(UpstreamNotices_t *this,
-                                const NoticeOrigin_t *origin,
-                                const HttpAnswer_t *answer);
+/** UpstreamNotices_applyAnswer() - parse and apply the notices of an answer to
+ * a call by the router itself; does nothing if @this is NULL */
+void UpstreamNotices_applyAnswer(UpstreamNotices_t *this,
+                                 const NoticeOrigin_t *origin,
+                                 const HttpAnswer_t *answer);
 
 /**
- * UpstreamNotices_noteLeaving() - an answer shows that the upstream ends, or
- * is gone, by other means than its headers
- * @by: which, for logs
+ * UpstreamNotices_noteLeaving() - record that an upstream is leaving or has
+ * departed, as an answer shows by other means than its headers
+ * @source: the means, for logs and counters
  */
 void UpstreamNotices_noteLeaving(UpstreamNotices_t *this,
-                                 const NoticeOrigin_t *origin, const char *by);
+                                 const NoticeOrigin_t *origin,
+                                 const char *source);
 
-/** UpstreamNotices_introduce() - a router was linked just now */
-void UpstreamNotices_introduce(const UpstreamNotices_t *this,
-                               Member_t *member);
+/** UpstreamNotices_syncPeer() - send the shared notices to a newly linked
+ * peer */
+void UpstreamNotices_syncPeer(const UpstreamNotices_t *this, Member_t *member);
 
-/** UpstreamNotices_takeNews() - a peer's message */
-void UpstreamNotices_takeNews(UpstreamNotices_t *this,
-                              const Wt__NoticeNews *message);
+/** UpstreamNotices_receive() - apply a peer's message */
+void UpstreamNotices_receive(UpstreamNotices_t *this,
+                             const Wt__NoticeNews *message);
 
 #endif
--- a/src/UpstreamProber.c
+++ b/src/UpstreamProber.c
@@ -59,7 +59,7 @@
 tell_reached(const Probe_t *probe)
 {
     Hint_t hint = {.kind = HINT_REACHABLE, .subject = probe->upstream->hash};
-    if (Upstream_settleDoubt(probe->upstream)) {
+    if (Upstream_resolveSuspicion(probe->upstream)) {
         HintFlood_broadcast(probe->owner->spec.hints, &hint);
     }
 }
@@ -71,9 +71,9 @@
     Probe_t *probe = data;
     probe->call = NULL;
     if (answer) {
-        Upstream_noteReached(probe->upstream, Clock_nowMs());
-        UpstreamNotices_takeAnswer(probe->owner->spec.notices, &probe->origin,
-                                   answer);
+        Upstream_noteReachable(probe->upstream, Clock_nowMs());
+        UpstreamNotices_applyAnswer(probe->owner->spec.notices, &probe->origin,
+                                    answer);
         tell_reached(probe);
         log_probe(probe, "upstream_reached", "answered");
         return;
@@ -139,7 +139,7 @@
 tell_peers(const UpstreamProber_t *this, Upstream_t *upstream)
 {
     Hint_t hint = {.kind = HINT_UNREACHABLE, .subject = upstream->hash};
-    if (Upstream_noteDoubt(upstream, Clock_nowMs())) {
+    if (Upstream_noteSuspicionReport(upstream, Clock_nowMs())) {
         HintFlood_broadcast(this->spec.hints, &hint);
     }
 }
@@ -157,7 +157,7 @@
     Probe_t *probe = g_new0(Probe_t, 1);
     probe->owner = this;
     probe->upstream = Upstream_ref(upstream);
-    if (upstream->heard_doubt && !is_prober(this, upstream)) {
+    if (upstream->suspected_by_peer && !is_prober(this, upstream)) {
         probe->heard_until_ms = Clock_nowMs() + PROBERS_PATIENCE_MS;
     }
     return probe;
@@ -168,9 +168,9 @@
 {
     gint64 now_ms = Clock_nowMs();
     gboolean left_to_peers =
-        probe->upstream->heard_doubt && now_ms < probe->heard_until_ms;
+        probe->upstream->suspected_by_peer && now_ms < probe->heard_until_ms;
     gboolean rests =
-        UpstreamBackoff_leftMs(&probe->upstream->rest, now_ms) > 0;
+        UpstreamBackoff_leftMs(&probe->upstream->backoff, now_ms) > 0;
     return !probe->call && !left_to_peers && !rests &&
            now_ms >= probe->next_ms;
 }
--- a/tests/fuzz/heads.c
+++ b/tests/fuzz/heads.c
@@ -90,10 +90,12 @@
 static void
 check_notice(const UpstreamNotice_t *notice, int status)
 {
-    g_assert_cmpint(notice->rest.for_ms, >=, 0);
-    g_assert_cmpint(notice->rest.for_ms, <=, UPSTREAM_BACKOFF_MAX_MS);
-    g_assert(notice->rest.kind == REST_ABSENT || status == HTTP_SERVUNAVAIL);
-    g_assert(notice->rest.kind == REST_ASKED || notice->rest.for_ms == 0);
+    g_assert_cmpint(notice->backoff.for_ms, >=, 0);
+    g_assert_cmpint(notice->backoff.for_ms, <=, UPSTREAM_BACKOFF_MAX_MS);
+    g_assert(notice->backoff.kind == BACKOFF_ABSENT ||
+             status == HTTP_SERVUNAVAIL);
+    g_assert(notice->backoff.kind == BACKOFF_REQUESTED ||
+             notice->backoff.for_ms == 0);
     g_assert(notice->limit.per_s >= 0 &&
              notice->limit.per_s <= ADVERTISED_LIMIT_MAX_PER_S);
 }
--- a/tests/fuzz/peers.c
+++ b/tests/fuzz/peers.c
@@ -10,7 +10,7 @@
 #include "Counters.h"
 #include "Gossip.h"
 #include "ListCopy.h"
-#include "NoticeNews.h"
+#include "NoticeUpdates.h"
 #include "PeerDatagrams.h"
 #include "PeerLink.h"
 #include "PeerMac.h"
@@ -105,16 +105,16 @@
     static struct event_base *base;
     base = base ? base : event_base_new();
     UpstreamSet_t *upstreams = UpstreamSet_create(base, 1);
-    NoticeNewsSpec_t spec = {.upstreams = upstreams, .take = take_fact};
+    NoticeUpdatesSpec_t spec = {.upstreams = upstreams, .handler = take_fact};
     const Upstream_t *first = put_upstream(upstreams, "u1");
-    NoticeNews_t *news = NoticeNews_create(base, &spec);
-    NoticeNews_take(news, message);
+    NoticeUpdates_t *news = NoticeUpdates_create(base, &spec);
+    NoticeUpdates_receive(news, message);
     const Upstream_t *second = put_upstream(upstreams, "u2");
     g_assert(first->limit.per_s >= 0 &&
              first->limit.per_s <= ADVERTISED_LIMIT_MAX_PER_S);
     g_assert(second->limit.per_s >= 0 &&
              second->limit.per_s <= ADVERTISED_LIMIT_MAX_PER_S);
-    NoticeNews_destroy(news);
+    NoticeUpdates_destroy(news);
     UpstreamSet_destroy(upstreams);
 }
 
--- a/tests/test_CrashEvidence.c
+++ b/tests/test_CrashEvidence.c
@@ -122,7 +122,7 @@
     begin();
     lose_attempt(1, TRUE);
     lose_attempt(2, TRUE);
-    Upstream_noteUnreached(upstream);
+    Upstream_noteUnreachable(upstream);
     upstream->unanswered = 1;
     run_checks();
     ck_assert_uint_eq(crashes, 2);
@@ -135,7 +135,7 @@
 {
     begin();
     lose_attempt(1, FALSE);
-    Upstream_noteUnreached(upstream);
+    Upstream_noteUnreachable(upstream);
     upstream->unanswered = 3;
     run_checks();
     ck_assert_uint_eq(crashes, 0);
--- a/tests/test_Fleet.c
+++ b/tests/test_Fleet.c
@@ -227,7 +227,7 @@
                      FLAG_SET);
     ck_assert_double_eq(read_head(200, "Server-Limit", "2").notice.limit.per_s,
                         2);
-    ck_assert_int_eq(read_head(503, "Retry-After", "3").notice.rest.for_ms,
+    ck_assert_int_eq(read_head(503, "Retry-After", "3").notice.backoff.for_ms,
                      3000);
     ck_assert(read_head(503, NULL, NULL).is_from_upstream);
     ck_assert(read_head(421, "X-Instance-Id", "i-1").is_from_upstream);
--- a/tests/test_HomePolicy.c
+++ b/tests/test_HomePolicy.c
@@ -28,7 +28,7 @@
         g_autofree char *name = g_strdup_printf("i-%u", i);
         Upstream_t *engine = Upstream_create(NULL, name, &spec, 0);
         engine->prefill_us_per_token = 17.6;
-        engine->weights_rise = TRUE;
+        engine->versions_increase = TRUE;
         Upstream_noteWeights(engine, "1");
         g_ptr_array_add(engines, engine);
     }
@@ -176,7 +176,7 @@
     Choice_t first = choose(42, 1);
     Placement_t request = placement(42, 1);
     Policy_learn(policy, &request, first.upstream, 0, 9000);
-    first.upstream->others_tokens = 30000;
+    first.upstream->peer_tokens = 30000;
     request.cache_tokens = 100000;
     EngineMemory_notePeerTokens(&first.upstream->memory, 100000);
     Choice_t before = Policy_choose(policy, &request);
@@ -194,11 +194,11 @@
     Choice_t first = choose(42, 1);
     Placement_t request = placement(42, 1);
     Policy_learn(policy, &request, first.upstream, 0, 9000);
-    first.upstream->others_tokens = 30000;
+    first.upstream->peer_tokens = 30000;
     Choice_t second = choose(42, 2);
     ck_assert_ptr_ne(second.upstream, first.upstream);
     ck_assert_ptr_eq(second.supply.source, first.upstream);
-    first.upstream->others_tokens = 0;
+    first.upstream->peer_tokens = 0;
     ck_assert_ptr_eq(choose(42, 3).upstream, first.upstream);
     tear_down();
 }
@@ -213,7 +213,7 @@
     request.newest_age_ms = 5000;
     Upstream_t *newer = Policy_choose(policy, &request).upstream;
     Upstream_noteWeights(newer, "2");
-    newer->others_tokens = 5000;
+    newer->peer_tokens = 5000;
     ck_assert_ptr_eq(Policy_choose(policy, &request).upstream, newer);
     Choice_t choice = Policy_choose(policy, &request);
     request.latest_us = choice.cost_us - 1;
@@ -243,7 +243,7 @@
 {
     set_up();
     Upstream_t *home = choose(42, 1).upstream;
-    home->others_tokens = 60000;
+    home->peer_tokens = 60000;
     Choice_t spilled = choose(42, 2);
     ck_assert_ptr_ne(spilled.upstream, home);
     ck_assert_ptr_eq(spilled.supply.source, home);
@@ -268,11 +268,11 @@
 {
     set_up();
     for (guint i = 0; i < ENGINES; i++) {
-        Upstream_noteUnreached(g_ptr_array_index(engines, i));
+        Upstream_noteUnreachable(g_ptr_array_index(engines, i));
     }
     ck_assert_ptr_null(choose(42, 1).upstream);
     Upstream_t *reached = g_ptr_array_index(engines, 4);
-    Upstream_noteReached(reached, NOW_MS);
+    Upstream_noteReachable(reached, NOW_MS);
     ck_assert_ptr_eq(choose(42, 1).upstream, reached);
     tear_down();
 }
@@ -295,14 +295,14 @@
     for (guint64 key = 1; key < 50; key++) {
         Placement_t request = placement(key * KEY_MULTIPLIER, key);
         Upstream_t *home = Policy_choose(policy, &request).upstream;
-        Upstream_noteSoon(home, 3000, NOW_MS);
+        Upstream_noteLoadSoon(home, 3000, NOW_MS);
         request.run_us = 200000;
         ck_assert_ptr_eq(Policy_choose(policy, &request).upstream, home);
         request.run_us = 1500000;
         ck_assert_ptr_ne(Policy_choose(policy, &request).upstream, home);
         request.now_ms = NOW_MS + 3000;
         ck_assert_ptr_eq(Policy_choose(policy, &request).upstream, home);
-        home->soon_until_ms = 0;
+        home->load_soon_until_ms = 0;
     }
     tear_down();
 }
--- a/tests/test_Policy.c
+++ b/tests/test_Policy.c
@@ -264,7 +264,7 @@
     request.warm_ms = 1000;
     Upstream_t *warm = engine_at(1);
     warm->idle_max = 1;
-    Upstream_keepConnection(
+    Upstream_poolConnection(
         warm, evhttp_connection_base_new(base, NULL, "127.0.0.1", 9),
         request.now_ms);
     for (guint i = 0; i < 6; i++) {
@@ -337,7 +337,7 @@
 static void
 set_backoff(guint i, gint64 for_ms)
 {
-    ck_assert(UpstreamBackoff_note(&engine_at(i)->rest, for_ms, 1000));
+    ck_assert(UpstreamBackoff_note(&engine_at(i)->backoff, for_ms, 1000));
 }
 
 START_TEST(a_backed_off_upstream_is_not_used_as_a_last_resort)
@@ -368,8 +368,8 @@
     Placement_t request = placement(1);
     Policy_t *policy = Policies_create(POLICY_HOME);
     set_backoff(0, 100);
-    request.now_ms = engine_at(0)->rest.until_ms;
-    UpstreamBackoff_noteSent(&engine_at(0)->rest, request.now_ms);
+    request.now_ms = engine_at(0)->backoff.until_ms;
+    UpstreamBackoff_noteSent(&engine_at(0)->backoff, request.now_ms);
     ck_assert(!Policy_mayUse(&request, engine_at(0)));
     ck_assert_ptr_eq(Policy_choose(policy, &request).upstream, engine_at(0));
     Policy_destroy(policy);
@@ -387,7 +387,7 @@
     BackedOffUpstreams_t backed_off = Policy_findBackedOff(&request);
     ck_assert_uint_eq(backed_off.count, 2);
     ck_assert_int_eq(backed_off.first_ms,
-                     engine_at(1)->rest.until_ms - request.now_ms);
+                     engine_at(1)->backoff.until_ms - request.now_ms);
     engine_at(1)->leaving = TRUE;
     ck_assert_uint_eq(Policy_findBackedOff(&request).count, 1);
     g_ptr_array_unref(engines);
--- a/tests/test_RollOut.c
+++ b/tests/test_RollOut.c
@@ -157,7 +157,7 @@
         now_ms - engine->loads_ms >= LOAD_MS) {
         engine->loaded = TRUE;
         engine->upstream->paused_until_ms = 0;
-        engine->upstream->soon_until_ms = 0;
+        engine->upstream->load_soon_until_ms = 0;
     }
 }
 
@@ -194,7 +194,7 @@
         }
         else if (play->warns && warned < places.most) {
             warned++;
-            Upstream_noteSoon(engine->upstream, WARN_MS, play->now_ms);
+            Upstream_noteLoadSoon(engine->upstream, WARN_MS, play->now_ms);
         }
     }
 }
--- a/tests/test_StreamMover.c
+++ b/tests/test_StreamMover.c
@@ -133,7 +133,7 @@
 {
     set_up();
     Upstream_noteUnloading(engine(0), PAUSE_MS, NOW_MS);
-    Upstream_noteUnreached(engine(1));
+    Upstream_noteUnreachable(engine(1));
     ck_assert_uint_eq(moves_at(NOW_MS + MOVE_DELAY_MS), 0);
     tear_down();
 }
--- a/tests/test_Upstream.c
+++ b/tests/test_Upstream.c
@@ -5,7 +5,7 @@
 #include "Upstream.h"
 
 #define NOW_MS 100000
-/* Longer than routers pass over a doubt that they have heard. */
+/* After the interval in which repeated suspicions are dropped. */
 #define LATER_MS (NOW_MS + 10000)
 
 static struct event_base *base;
@@ -34,69 +34,69 @@
 }
 
 static void
-hear_doubt(gint64 now_ms)
+receive_suspicion(gint64 now_ms)
 {
-    if (Upstream_noteDoubt(upstream, now_ms)) {
-        Upstream_noteHeardDoubt(upstream);
+    if (Upstream_noteSuspicionReport(upstream, now_ms)) {
+        Upstream_notePeerSuspicion(upstream);
     }
 }
 
-START_TEST(a_peers_doubt_ends_with_a_peers_word)
+START_TEST(peer_suspicion_is_resolved_by_a_peer)
 {
     begin();
-    hear_doubt(NOW_MS);
+    receive_suspicion(NOW_MS);
     ck_assert(!Upstream_isUsable(upstream, NOW_MS));
-    ck_assert(Upstream_settleDoubt(upstream));
+    ck_assert(Upstream_resolveSuspicion(upstream));
     ck_assert(Upstream_isUsable(upstream, NOW_MS));
     end();
 }
 END_TEST
 
-START_TEST(an_own_doubt_does_not_end_with_a_peers_word)
+START_TEST(local_suspicion_is_not_resolved_by_a_peer)
 {
     begin();
-    hear_doubt(NOW_MS);
-    ck_assert(!Upstream_noteUnreached(upstream));
-    ck_assert(Upstream_settleDoubt(upstream));
+    receive_suspicion(NOW_MS);
+    ck_assert(!Upstream_noteUnreachable(upstream));
+    ck_assert(Upstream_resolveSuspicion(upstream));
     ck_assert(!Upstream_isUsable(upstream, NOW_MS));
-    Upstream_noteReached(upstream, NOW_MS);
+    Upstream_noteReachable(upstream, NOW_MS);
     ck_assert(Upstream_isUsable(upstream, NOW_MS));
     end();
 }
 END_TEST
 
-START_TEST(a_doubt_is_settled_once_and_does_not_come_back_at_once)
+START_TEST(suspicion_is_resolved_once_and_not_repeated_at_once)
 {
     begin();
-    ck_assert(!Upstream_settleDoubt(upstream));
-    hear_doubt(NOW_MS);
-    ck_assert(Upstream_settleDoubt(upstream));
-    ck_assert(!Upstream_settleDoubt(upstream));
-    hear_doubt(NOW_MS + 1);
+    ck_assert(!Upstream_resolveSuspicion(upstream));
+    receive_suspicion(NOW_MS);
+    ck_assert(Upstream_resolveSuspicion(upstream));
+    ck_assert(!Upstream_resolveSuspicion(upstream));
+    receive_suspicion(NOW_MS + 1);
     ck_assert(Upstream_isUsable(upstream, NOW_MS + 1));
-    hear_doubt(LATER_MS);
+    receive_suspicion(LATER_MS);
     ck_assert(!Upstream_isUsable(upstream, LATER_MS));
-    ck_assert(Upstream_settleDoubt(upstream));
+    ck_assert(Upstream_resolveSuspicion(upstream));
     end();
 }
 END_TEST
 
-START_TEST(a_connection_is_warm_for_as_long_as_is_asked)
+START_TEST(connection_is_warm_up_to_the_given_idle_time)
 {
     begin();
-    ck_assert(!Upstream_isWarm(upstream, 1000, NOW_MS));
+    ck_assert(!Upstream_hasWarmConnection(upstream, 1000, NOW_MS));
     struct evhttp_connection *connection =
         Upstream_takeConnection(upstream, 0, NOW_MS);
-    Upstream_keepConnection(upstream, connection, NOW_MS);
-    ck_assert(Upstream_isWarm(upstream, 1000, NOW_MS + 1000));
-    ck_assert(!Upstream_isWarm(upstream, 1000, NOW_MS + 1001));
-    Upstream_noteHeardDoubt(upstream);
-    ck_assert(!Upstream_isWarm(upstream, 1000, NOW_MS));
+    Upstream_poolConnection(upstream, connection, NOW_MS);
+    ck_assert(Upstream_hasWarmConnection(upstream, 1000, NOW_MS + 1000));
+    ck_assert(!Upstream_hasWarmConnection(upstream, 1000, NOW_MS + 1001));
+    Upstream_notePeerSuspicion(upstream);
+    ck_assert(!Upstream_hasWarmConnection(upstream, 1000, NOW_MS));
     end();
 }
 END_TEST
 
-TESTING_MAIN("Upstream", a_peers_doubt_ends_with_a_peers_word,
-             an_own_doubt_does_not_end_with_a_peers_word,
-             a_doubt_is_settled_once_and_does_not_come_back_at_once,
-             a_connection_is_warm_for_as_long_as_is_asked)
+TESTING_MAIN("Upstream", peer_suspicion_is_resolved_by_a_peer,
+             local_suspicion_is_not_resolved_by_a_peer,
+             suspicion_is_resolved_once_and_not_repeated_at_once,
+             connection_is_warm_up_to_the_given_idle_time)
--- a/tests/test_UpstreamGate.c
+++ b/tests/test_UpstreamGate.c
@@ -7,43 +7,43 @@
 #include "FakeUpstreams.h"
 #include "UpstreamGate.h"
 
-/* A count that answers as it is told, at once or later. */
+/* Rate limits that return a preset verdict, at once or later. */
 typedef struct {
     RateLimits_t super;
     RateVerdict_t verdict;
-    gboolean answers_later;
-    guint asked;
+    gboolean is_late;
+    guint acquired;
     guint cancelled;
-    guint given_back;
+    guint refunded;
     RateDone_t done;
     void *owner;
-} FakeCount_t;
+} FakeRateLimits_t;
 
 static RateQuery_t *
 acquire(RateLimits_t *super, const RateRequest_t *request, RateVerdict_t *out,
         RateDone_t done, void *owner)
 {
-    FakeCount_t *this = (FakeCount_t *)super;
+    FakeRateLimits_t *this = (FakeRateLimits_t *)super;
     ck_assert(request->limit.exact);
     ck_assert_double_eq(request->units, 1);
-    this->asked++;
+    this->acquired++;
     this->done = done;
     this->owner = owner;
     *out = this->verdict;
-    return this->answers_later ? (RateQuery_t *)this : NULL;
+    return this->is_late ? (RateQuery_t *)this : NULL;
 }
 
 static void
-cancel(RateQuery_t *ask)
+cancel(RateQuery_t *query)
 {
-    ((FakeCount_t *)ask)->cancelled++;
+    ((FakeRateLimits_t *)query)->cancelled++;
 }
 
 static void
 refund(RateLimits_t *super, const RateRequest_t *request)
 {
     ck_assert_double_eq(request->units, 1);
-    ((FakeCount_t *)super)->given_back++;
+    ((FakeRateLimits_t *)super)->refunded++;
 }
 
 static const RateLimitsClass_t class = {
@@ -53,11 +53,11 @@
 static Counters_t *counters;
 static UpstreamSet_t *upstreams;
 static UpstreamLimits_t *limits;
-static FakeCount_t count;
+static FakeRateLimits_t rates;
 static UpstreamGate_t gate;
 static Upstream_t *upstream;
-static guint answers;
-static UpstreamGateStep_t answer;
+static guint result_count;
+static UpstreamGateResult_t last_result;
 
 static Upstream_t *
 put(const char *name)
@@ -66,13 +66,13 @@
 }
 
 static void
-name_limit(Upstream_t *to, const char *text)
+set_limit(Upstream_t *to, const char *text)
 {
-    AdvertisedLimit_t said = {.kind = LIMIT_ABSENT};
+    AdvertisedLimit_t advertised = {.kind = LIMIT_ABSENT};
     if (text) {
-        said = AdvertisedLimit_parse(text);
+        advertised = AdvertisedLimit_parse(text);
     }
-    UpstreamLimits_noteAnswer(limits, to, &said, G_MAXINT64, "r1");
+    UpstreamLimits_noteAnswer(limits, to, &advertised, G_MAXINT64, "r1");
 }
 
 static void
@@ -83,16 +83,17 @@
     upstreams = UpstreamSet_create(routers.base, 1);
     limits = UpstreamLimits_create(routers.list[0].membership, counters);
     upstream = put("u");
-    count = (FakeCount_t){.super = {&class}, .verdict = {.admitted = TRUE}};
+    rates =
+        (FakeRateLimits_t){.super = {&class}, .verdict = {.admitted = TRUE}};
     gate = (UpstreamGate_t){0};
-    answers = 0;
-    name_limit(upstream, "2");
+    result_count = 0;
+    set_limit(upstream, "2");
 }
 
 static void
 end(void)
 {
-    UpstreamGate_leave(&gate);
+    UpstreamGate_release(&gate);
     UpstreamLimits_destroy(limits);
     UpstreamSet_destroy(upstreams);
     Counters_destroy(counters);
@@ -100,128 +101,129 @@
 }
 
 static void
-on_answer(void *owner, UpstreamGateStep_t step)
+on_result(void *owner, UpstreamGateResult_t result)
 {
     (void)owner;
-    answers++;
-    answer = step;
+    result_count++;
+    last_result = result;
 }
 
-static UpstreamGateStep_t
-go_to(Upstream_t *to)
+static UpstreamGateResult_t
+acquire_gate(Upstream_t *to)
 {
     UpstreamGateSpec_t spec = {
         .limits = limits,
-        .rates = &count.super,
+        .rates = &rates.super,
         .request_id = "r1",
-        .done = on_answer,
+        .done = on_result,
     };
-    return UpstreamGate_enter(&gate, to, &spec);
+    return UpstreamGate_acquire(&gate, to, &spec);
 }
 
-START_TEST(without_a_limit_nothing_is_asked)
+START_TEST(no_capacity_is_requested_without_a_limit)
 {
     begin();
-    name_limit(upstream, NULL);
-    ck_assert_int_eq(go_to(upstream), UPSTREAM_GATE_OPEN);
-    ck_assert_uint_eq(count.asked, 0);
+    set_limit(upstream, NULL);
+    ck_assert_int_eq(acquire_gate(upstream), UPSTREAM_GATE_OPEN);
+    ck_assert_uint_eq(rates.acquired, 0);
     end();
 }
 END_TEST
 
-START_TEST(room_is_for_one_attempt)
+START_TEST(capacity_is_valid_for_one_attempt)
 {
     begin();
-    ck_assert_int_eq(go_to(upstream), UPSTREAM_GATE_OPEN);
+    ck_assert_int_eq(acquire_gate(upstream), UPSTREAM_GATE_OPEN);
     ck_assert_ptr_eq(UpstreamGate_permitted(&gate), upstream);
-    ck_assert_int_eq(go_to(upstream), UPSTREAM_GATE_OPEN);
-    ck_assert_uint_eq(count.asked, 1);
-    UpstreamGate_use(&gate, upstream);
+    ck_assert_int_eq(acquire_gate(upstream), UPSTREAM_GATE_OPEN);
+    ck_assert_uint_eq(rates.acquired, 1);
+    UpstreamGate_consume(&gate, upstream);
     ck_assert_ptr_null(UpstreamGate_permitted(&gate));
-    ck_assert_int_eq(go_to(upstream), UPSTREAM_GATE_OPEN);
-    ck_assert_uint_eq(count.asked, 2);
-    UpstreamGate_use(&gate, upstream);
-    ck_assert_uint_eq(count.given_back, 0);
+    ck_assert_int_eq(acquire_gate(upstream), UPSTREAM_GATE_OPEN);
+    ck_assert_uint_eq(rates.acquired, 2);
+    UpstreamGate_consume(&gate, upstream);
+    ck_assert_uint_eq(rates.refunded, 0);
     end();
 }
 END_TEST
 
-START_TEST(room_that_was_not_used_is_given_back)
+START_TEST(unused_capacity_is_refunded)
 {
     begin();
-    go_to(upstream);
-    UpstreamGate_use(&gate, put("v"));
-    ck_assert_uint_eq(count.given_back, 1);
-    go_to(upstream);
-    UpstreamGate_leave(&gate);
-    ck_assert_uint_eq(count.given_back, 2);
+    acquire_gate(upstream);
+    UpstreamGate_consume(&gate, put("v"));
+    ck_assert_uint_eq(rates.refunded, 1);
+    acquire_gate(upstream);
+    UpstreamGate_release(&gate);
+    ck_assert_uint_eq(rates.refunded, 2);
     end();
 }
 END_TEST
 
-START_TEST(an_upstream_without_room_is_full_for_all_requests_here)
+START_TEST(upstream_without_capacity_is_full_for_all_local_requests)
 {
     begin();
-    count.verdict = (RateVerdict_t){.by = "keeper", .retry_after_ms = 60000};
-    ck_assert_int_eq(go_to(upstream), UPSTREAM_GATE_FULL);
+    rates.verdict = (RateVerdict_t){.by = "keeper", .retry_after_ms = 60000};
+    ck_assert_int_eq(acquire_gate(upstream), UPSTREAM_GATE_FULL);
     ck_assert_uint_eq(gate.refusals, 1);
     ck_assert_ptr_eq(gate.full, upstream);
     ck_assert_int_gt(UpstreamLimit_fullMs(&upstream->limit, Clock_nowMs()),
                      50000);
-    ck_assert_uint_eq(answers, 0);
+    ck_assert_uint_eq(result_count, 0);
     end();
 }
 END_TEST
 
-START_TEST(a_later_answer_is_told)
+START_TEST(late_verdict_is_passed_to_the_callback)
 {
     begin();
-    count.answers_later = TRUE;
-    ck_assert_int_eq(go_to(upstream), UPSTREAM_GATE_ASKED);
+    rates.is_late = TRUE;
+    ck_assert_int_eq(acquire_gate(upstream), UPSTREAM_GATE_PENDING);
     ck_assert_ptr_null(UpstreamGate_permitted(&gate));
-    count.done(count.owner, &count.verdict);
-    ck_assert_uint_eq(answers, 1);
-    ck_assert_int_eq(answer, UPSTREAM_GATE_OPEN);
+    rates.done(rates.owner, &rates.verdict);
+    ck_assert_uint_eq(result_count, 1);
+    ck_assert_int_eq(last_result, UPSTREAM_GATE_OPEN);
     ck_assert_ptr_eq(UpstreamGate_permitted(&gate), upstream);
     end();
 }
 END_TEST
 
-START_TEST(a_request_that_ends_asks_no_more)
+START_TEST(release_cancels_a_pending_query)
 {
     begin();
-    count.answers_later = TRUE;
-    go_to(upstream);
-    UpstreamGate_leave(&gate);
-    ck_assert_uint_eq(count.cancelled, 1);
-    ck_assert_uint_eq(answers, 0);
+    rates.is_late = TRUE;
+    acquire_gate(upstream);
+    UpstreamGate_release(&gate);
+    ck_assert_uint_eq(rates.cancelled, 1);
+    ck_assert_uint_eq(result_count, 0);
     end();
 }
 END_TEST
 
-/* Callers that are told the same moment come back at once and are refused
+/* Callers that are told to retry at the same time would all be refused
  * again. */
-START_TEST(those_refused_come_back_one_after_the_other)
+START_TEST(refused_requests_retry_at_different_times)
 {
     begin();
-    LimitedCapacity_t room = {.count = 1, .per_s = 4, .full_ms = 100};
-    g_autoptr(GHashTable) told = g_hash_table_new(NULL, NULL);
+    LimitedCapacity_t capacity = {.count = 1, .per_s = 4, .full_ms = 100};
+    g_autoptr(GHashTable) wait_times = g_hash_table_new(NULL, NULL);
     guint latest = 0;
     for (guint i = 0; i < 20; i++) {
-        guint wait_ms = UpstreamLimits_retryAfterMs(limits, "s", &room);
+        guint wait_ms = UpstreamLimits_retryAfterMs(limits, "s", &capacity);
         ck_assert_uint_gt(wait_ms, 100);
         ck_assert_uint_le(wait_ms, 10000);
-        g_hash_table_add(told, GUINT_TO_POINTER(wait_ms));
+        g_hash_table_add(wait_times, GUINT_TO_POINTER(wait_ms));
         latest = MAX(latest, wait_ms);
     }
-    ck_assert_uint_ge(g_hash_table_size(told), 15);
+    ck_assert_uint_ge(g_hash_table_size(wait_times), 15);
     ck_assert_uint_ge(latest, 1000);
     end();
 }
 END_TEST
 
-TESTING_MAIN("UpstreamGate", without_a_limit_nothing_is_asked,
-             room_is_for_one_attempt, room_that_was_not_used_is_given_back,
-             an_upstream_without_room_is_full_for_all_requests_here,
-             a_later_answer_is_told, a_request_that_ends_asks_no_more,
-             those_refused_come_back_one_after_the_other)
+TESTING_MAIN("UpstreamGate", no_capacity_is_requested_without_a_limit,
+             capacity_is_valid_for_one_attempt, unused_capacity_is_refunded,
+             upstream_without_capacity_is_full_for_all_local_requests,
+             late_verdict_is_passed_to_the_callback,
+             release_cancels_a_pending_query,
+             refused_requests_retry_at_different_times)
--- a/tests/test_UpstreamNotice.c
+++ b/tests/test_UpstreamNotice.c
@@ -10,19 +10,19 @@
 static const UpstreamNoticeForm_t form = {
     .headers = {[NOTICE_LIMIT] = "Limit",
                 [NOTICE_LEAVING] = "Leaving",
-                [NOTICE_REST] = "Rest"},
+                [NOTICE_BACKOFF] = "Rest"},
 };
 
 static struct evkeyvalq headers;
 
 static void
-say(const char *name, const char *value)
+add_header(const char *name, const char *value)
 {
     ck_assert_int_eq(evhttp_add_header(&headers, name, value), 0);
 }
 
 static UpstreamNotice_t
-read_all(void)
+read_notice(void)
 {
     UpstreamNotice_t notice =
         UpstreamNotice_read(&form, HTTP_SERVUNAVAIL, &headers);
@@ -33,32 +33,32 @@
 static NoticeFlag_t
 read_leaving(const char *value)
 {
-    say("leaving", value);
-    return read_all().leaving;
+    add_header("leaving", value);
+    return read_notice().leaving;
 }
 
-START_TEST(an_answer_that_says_nothing)
+START_TEST(answer_without_notices)
 {
     TAILQ_INIT(&headers);
-    say("Connection", "close");
-    UpstreamNotice_t notice = read_all();
+    add_header("Connection", "close");
+    UpstreamNotice_t notice = read_notice();
     ck_assert_int_eq(notice.limit.kind, LIMIT_ABSENT);
     ck_assert_int_eq(notice.leaving, FLAG_UNSET);
 }
 END_TEST
 
-START_TEST(an_answer_that_says_all)
+START_TEST(answer_with_limit_and_leaving)
 {
     TAILQ_INIT(&headers);
-    say("LIMIT", "1.5");
-    say("Leaving", "1");
-    UpstreamNotice_t notice = read_all();
+    add_header("LIMIT", "1.5");
+    add_header("Leaving", "1");
+    UpstreamNotice_t notice = read_notice();
     ck_assert_double_eq(notice.limit.per_s, 1.5);
     ck_assert_int_eq(notice.leaving, FLAG_SET);
 }
 END_TEST
 
-START_TEST(only_one_sets_a_flag)
+START_TEST(only_the_value_1_sets_a_flag)
 {
     TAILQ_INIT(&headers);
     ck_assert_int_eq(read_leaving("0"), FLAG_UNSET);
@@ -68,40 +68,40 @@
 }
 END_TEST
 
-START_TEST(two_flags_must_agree)
+START_TEST(repeated_flags_must_agree)
 {
     TAILQ_INIT(&headers);
-    say("leaving", "1");
+    add_header("leaving", "1");
     ck_assert_int_eq(read_leaving("1"), FLAG_SET);
-    say("leaving", "0");
+    add_header("leaving", "0");
     ck_assert_int_eq(read_leaving("1"), FLAG_UNREADABLE);
 }
 END_TEST
 
-static RestNotice_t
-read_rest(int status, const char *value)
+static BackoffNotice_t
+read_backoff(int status, const char *value)
 {
-    say("rest", value);
+    add_header("rest", value);
     UpstreamNotice_t notice = UpstreamNotice_read(&form, status, &headers);
     evhttp_clear_headers(&headers);
-    return notice.rest;
+    return notice.backoff;
 }
 
-START_TEST(seconds_of_rest_are_read)
+START_TEST(seconds_of_backoff_are_parsed)
 {
     TAILQ_INIT(&headers);
-    ck_assert_int_eq(read_rest(503, "3").for_ms, 3000);
-    ck_assert_int_eq(read_rest(503, "0.25").for_ms, 250);
-    ck_assert_int_eq(read_rest(503, "0").kind, REST_ASKED);
-    ck_assert_int_eq(read_rest(503, "99999999999999999999").for_ms,
+    ck_assert_int_eq(read_backoff(503, "3").for_ms, 3000);
+    ck_assert_int_eq(read_backoff(503, "0.25").for_ms, 250);
+    ck_assert_int_eq(read_backoff(503, "0").kind, BACKOFF_REQUESTED);
+    ck_assert_int_eq(read_backoff(503, "99999999999999999999").for_ms,
                      UPSTREAM_BACKOFF_MAX_MS);
-    ck_assert_int_eq(read_rest(200, "3").kind, REST_ABSENT);
-    ck_assert_int_eq(read_rest(429, "3").kind, REST_ABSENT);
-    ck_assert_int_eq(read_rest(500, "3").kind, REST_ABSENT);
+    ck_assert_int_eq(read_backoff(200, "3").kind, BACKOFF_ABSENT);
+    ck_assert_int_eq(read_backoff(429, "3").kind, BACKOFF_ABSENT);
+    ck_assert_int_eq(read_backoff(500, "3").kind, BACKOFF_ABSENT);
 }
 END_TEST
 
-START_TEST(what_is_no_number_of_seconds_is_unreadable)
+START_TEST(backoff_without_a_number_of_seconds_is_unreadable)
 {
     static const char *const texts[] = {
         "",    "-1",  "soon",
@@ -110,19 +110,19 @@
     char digits[401];
     TAILQ_INIT(&headers);
     for (gsize i = 0; i < G_N_ELEMENTS(texts); i++) {
-        ck_assert_int_eq(read_rest(503, texts[i]).kind, REST_UNREADABLE);
+        ck_assert_int_eq(read_backoff(503, texts[i]).kind, BACKOFF_UNREADABLE);
     }
     memset(digits, '9', sizeof(digits) - 1);
     digits[sizeof(digits) - 1] = '\0';
-    ck_assert_int_eq(read_rest(503, digits).kind, REST_UNREADABLE);
-    say("rest", "3");
-    ck_assert_int_eq(read_rest(503, "4").kind, REST_UNREADABLE);
-    say("rest", "3");
-    ck_assert_int_eq(read_rest(503, "3.0").for_ms, 3000);
+    ck_assert_int_eq(read_backoff(503, digits).kind, BACKOFF_UNREADABLE);
+    add_header("rest", "3");
+    ck_assert_int_eq(read_backoff(503, "4").kind, BACKOFF_UNREADABLE);
+    add_header("rest", "3");
+    ck_assert_int_eq(read_backoff(503, "3.0").for_ms, 3000);
 }
 END_TEST
 
-TESTING_MAIN("UpstreamNotice", an_answer_that_says_nothing,
-             an_answer_that_says_all, only_one_sets_a_flag,
-             two_flags_must_agree, seconds_of_rest_are_read,
-             what_is_no_number_of_seconds_is_unreadable)
+TESTING_MAIN("UpstreamNotice", answer_without_notices,
+             answer_with_limit_and_leaving, only_the_value_1_sets_a_flag,
+             repeated_flags_must_agree, seconds_of_backoff_are_parsed,
+             backoff_without_a_number_of_seconds_is_unreadable)
--- a/tests/test_UpstreamNotices.c
+++ b/tests/test_UpstreamNotices.c
@@ -10,23 +10,23 @@
 #include "UpstreamNotices.h"
 
 #define MESH 16
-/* More turns than news take. */
-#define TURNS_MS 120
+/* Longer than a batch of updates takes to arrive. */
+#define DELIVERY_MS 120
 #define MISDIRECTED 421
 #define REQUEST "r1"
 
 static const UpstreamNoticeForm_t form = {
     .headers = {[NOTICE_LIMIT] = "Limit",
                 [NOTICE_LEAVING] = "Leaving",
-                [NOTICE_REST] = "Rest"},
+                [NOTICE_BACKOFF] = "Rest"},
     .misdirected_status = MISDIRECTED,
 };
 
-/* What says each kind; one without an entry fails the tests. */
+/* Header value for each kind; the tests fail for a kind without one. */
 static const char *const values[NOTICE_KIND_COUNT] = {
     [NOTICE_LIMIT] = "2",
     [NOTICE_LEAVING] = "1",
-    [NOTICE_REST] = "3",
+    [NOTICE_BACKOFF] = "3",
 };
 
 static FakeRouters_t routers;
@@ -65,9 +65,10 @@
     FakeRouters_clear(&routers);
 }
 
-/* An answer that says one kind, or nothing. */
+/* Notices of an answer with the header of one kind, or with none for
+ * NOTICE_KIND_COUNT. */
 static UpstreamNotice_t
-say(guint kind)
+make_notice(guint kind)
 {
     struct evkeyvalq headers;
     TAILQ_INIT(&headers);
@@ -82,14 +83,14 @@
 }
 
 static void
-hear(guint kind, const NoticeOrigin_t *origin)
+receive_notice(guint kind, const NoticeOrigin_t *origin)
 {
-    UpstreamNotice_t notice = say(kind);
-    UpstreamNotices_take(notices, origin, &notice);
+    UpstreamNotice_t notice = make_notice(kind);
+    UpstreamNotices_apply(notices, origin, &notice);
 }
 
 static NoticeOrigin_t
-asked_now(void)
+origin_of_new_request(void)
 {
     NoticeOrigin_t origin = NoticeOrigin_begin(upstream, REQUEST);
     origin.sent_ms = Clock_nowMs() + 1;
@@ -99,16 +100,16 @@
 static gboolean
 holds(guint kind)
 {
-    return UpstreamNotices_terms(kind)->holds(upstream, Clock_nowMs());
+    return UpstreamNotices_scope(kind)->holds(upstream, Clock_nowMs());
 }
 
-START_TEST(each_kind_has_its_terms_and_holds_once_it_was_said)
+START_TEST(each_kind_has_a_scope_and_holds_once_received)
 {
     begin();
-    NoticeOrigin_t origin = asked_now();
-    ck_assert_ptr_nonnull(UpstreamNotices_terms(_i)->name);
+    NoticeOrigin_t origin = origin_of_new_request();
+    ck_assert_ptr_nonnull(UpstreamNotices_scope(_i)->name);
     ck_assert(!holds(_i));
-    hear(_i, &origin);
+    receive_notice(_i, &origin);
     ck_assert(holds(_i));
     for (gint other = 0; other < NOTICE_KIND_COUNT; other++) {
         ck_assert(other == _i || !holds(other));
@@ -117,72 +118,72 @@
 }
 END_TEST
 
-START_TEST(only_what_holds_for_all_routers_is_told)
+START_TEST(only_shared_kinds_are_broadcast)
 {
     begin();
-    NoticeOrigin_t origin = asked_now();
-    hear(_i, &origin);
-    hear(_i, &origin);
-    FakeRouters_run(&routers, TURNS_MS);
+    NoticeOrigin_t origin = origin_of_new_request();
+    receive_notice(_i, &origin);
+    receive_notice(_i, &origin);
+    FakeRouters_run(&routers, DELIVERY_MS);
     ck_assert_uint_eq(
         FakeRouters_count(&routers, 1, WT__PEER_MESSAGE__BODY_NOTICE_NEWS),
-        UpstreamNotices_terms(_i)->is_shared ? 1 : 0);
+        UpstreamNotices_scope(_i)->is_shared ? 1 : 0);
     end();
 }
 END_TEST
 
-START_TEST(a_new_start_ends_each_kind)
+START_TEST(new_incarnation_ends_each_kind)
 {
     begin();
-    NoticeOrigin_t origin = asked_now();
-    hear(_i, &origin);
+    NoticeOrigin_t origin = origin_of_new_request();
+    receive_notice(_i, &origin);
     Upstream_noteIncarnation(upstream, 2, Clock_nowMs());
     ck_assert(!holds(_i));
-    hear(_i, &origin);
+    receive_notice(_i, &origin);
     ck_assert(!holds(_i));
     end();
 }
 END_TEST
 
-START_TEST(an_answer_to_an_earlier_request_ends_no_kind)
+START_TEST(answer_to_an_earlier_request_ends_no_kind)
 {
     begin();
-    NoticeOrigin_t earlier = asked_now();
-    NoticeOrigin_t origin = asked_now();
+    NoticeOrigin_t earlier = origin_of_new_request();
+    NoticeOrigin_t origin = origin_of_new_request();
     earlier.sent_ms -= 10;
-    hear(_i, &origin);
-    hear(NOTICE_KIND_COUNT, &earlier);
+    receive_notice(_i, &origin);
+    receive_notice(NOTICE_KIND_COUNT, &earlier);
     ck_assert(holds(_i));
     end();
 }
 END_TEST
 
-START_TEST(an_answer_to_a_later_request_ends_what_it_may)
+START_TEST(answer_to_a_later_request_ends_only_kinds_that_end_by_answer)
 {
     begin();
-    NoticeOrigin_t origin = asked_now();
-    hear(_i, &origin);
-    NoticeOrigin_t later = asked_now();
+    NoticeOrigin_t origin = origin_of_new_request();
+    receive_notice(_i, &origin);
+    NoticeOrigin_t later = origin_of_new_request();
     later.sent_ms += 10;
-    hear(NOTICE_KIND_COUNT, &later);
-    ck_assert_int_eq(holds(_i), !UpstreamNotices_terms(_i)->ends_by_answer);
+    receive_notice(NOTICE_KIND_COUNT, &later);
+    ck_assert_int_eq(holds(_i), !UpstreamNotices_scope(_i)->ends_by_answer);
     end();
 }
 END_TEST
 
-START_TEST(what_is_unreadable_changes_nothing)
+START_TEST(unreadable_notices_change_nothing)
 {
     begin();
     struct evkeyvalq headers;
     TAILQ_INIT(&headers);
-    NoticeOrigin_t origin = asked_now();
+    NoticeOrigin_t origin = origin_of_new_request();
     evhttp_add_header(&headers, form.headers[_i], "perhaps");
     UpstreamNotice_t notice =
         UpstreamNotice_read(&form, HTTP_SERVUNAVAIL, &headers);
-    UpstreamNotices_take(notices, &origin, &notice);
+    UpstreamNotices_apply(notices, &origin, &notice);
     ck_assert(!holds(_i));
-    hear(_i, &origin);
-    UpstreamNotices_take(notices, &origin, &notice);
+    receive_notice(_i, &origin);
+    UpstreamNotices_apply(notices, &origin, &notice);
     ck_assert(holds(_i));
     evhttp_clear_headers(&headers);
     end();
@@ -190,7 +191,7 @@
 END_TEST
 
 static void
-answer_own_call(guint kind, int status)
+answer_router_call(guint kind, int status)
 {
     struct evkeyvalq headers;
     TAILQ_INIT(&headers);
@@ -199,41 +200,41 @@
         evhttp_add_header(&headers, form.headers[kind], values[kind]);
     }
     HttpAnswer_t answer = {.status = status, .headers = &headers};
-    UpstreamNotices_takeAnswer(notices, &origin, &answer);
+    UpstreamNotices_applyAnswer(notices, &origin, &answer);
     evhttp_clear_headers(&headers);
 }
 
-/* Probes, states and orders. */
-START_TEST(answers_to_calls_of_the_router_are_heard_as_well)
+/* Router calls are probes, queries of states and orders. */
+START_TEST(notices_in_answers_to_router_calls_are_applied)
 {
     begin();
-    answer_own_call(_i, MISDIRECTED);
+    answer_router_call(_i, MISDIRECTED);
     ck_assert(!holds(_i));
-    answer_own_call(_i, 503);
+    answer_router_call(_i, 503);
     ck_assert(holds(_i));
-    answer_own_call(NOTICE_KIND_COUNT, 200);
+    answer_router_call(NOTICE_KIND_COUNT, 200);
     ck_assert(holds(_i));
     end();
 }
 END_TEST
 
-START_TEST(an_upstream_that_leaves_gets_no_work_not_even_as_the_last)
+START_TEST(leaving_upstream_gets_no_work_even_if_it_is_the_last)
 {
     begin();
-    NoticeOrigin_t origin = asked_now();
-    hear(NOTICE_LEAVING, &origin);
+    NoticeOrigin_t origin = origin_of_new_request();
+    receive_notice(NOTICE_LEAVING, &origin);
     ck_assert(!Upstream_takesWork(upstream));
     ck_assert_int_gt(upstream->leaving_ms, 0);
     end();
 }
 END_TEST
 
-START_TEST(one_that_was_replaced_is_told_as_well)
+START_TEST(replaced_upstream_is_broadcast_as_leaving)
 {
     begin();
-    NoticeOrigin_t origin = asked_now();
+    NoticeOrigin_t origin = origin_of_new_request();
     UpstreamNotices_noteLeaving(notices, &origin, "replaced");
-    FakeRouters_run(&routers, TURNS_MS);
+    FakeRouters_run(&routers, DELIVERY_MS);
     ck_assert(upstream->leaving);
     ck_assert_uint_eq(
         FakeRouters_count(&routers, 1, WT__PEER_MESSAGE__BODY_NOTICE_NEWS), 1);
@@ -244,26 +245,27 @@
 int
 main(void)
 {
-    const TTest *const of_each_kind[] = {
-        each_kind_has_its_terms_and_holds_once_it_was_said,
-        only_what_holds_for_all_routers_is_told,
-        a_new_start_ends_each_kind,
-        an_answer_to_an_earlier_request_ends_no_kind,
-        an_answer_to_a_later_request_ends_what_it_may,
-        what_is_unreadable_changes_nothing,
-        answers_to_calls_of_the_router_are_heard_as_well,
+    const TTest *const tests_of_each_kind[] = {
+        each_kind_has_a_scope_and_holds_once_received,
+        only_shared_kinds_are_broadcast,
+        new_incarnation_ends_each_kind,
+        answer_to_an_earlier_request_ends_no_kind,
+        answer_to_a_later_request_ends_only_kinds_that_end_by_answer,
+        unreadable_notices_change_nothing,
+        notices_in_answers_to_router_calls_are_applied,
     };
     if (sodium_init() < 0) {
         return EXIT_FAILURE;
     }
     Suite *suite = suite_create("UpstreamNotices");
     TCase *group = tcase_create("UpstreamNotices");
-    for (gsize i = 0; i < G_N_ELEMENTS(of_each_kind); i++) {
-        tcase_add_loop_test(group, of_each_kind[i], 0, NOTICE_KIND_COUNT);
+    for (gsize i = 0; i < G_N_ELEMENTS(tests_of_each_kind); i++) {
+        tcase_add_loop_test(group, tests_of_each_kind[i], 0,
+                            NOTICE_KIND_COUNT);
     }
     tcase_add_test(group,
-                   an_upstream_that_leaves_gets_no_work_not_even_as_the_last);
-    tcase_add_test(group, one_that_was_replaced_is_told_as_well);
+                   leaving_upstream_gets_no_work_even_if_it_is_the_last);
+    tcase_add_test(group, replaced_upstream_is_broadcast_as_leaving);
     suite_add_tcase(suite, group);
     SRunner *runner = srunner_create(suite);
     srunner_set_fork_status(runner, CK_NOFORK);
--- a/tests/test_UpstreamProber.c
+++ b/tests/test_UpstreamProber.c
@@ -176,7 +176,7 @@
 {
     begin(2, 0);
     status = HTTP_SERVUNAVAIL;
-    Upstream_noteUnreached(upstream);
+    Upstream_noteUnreachable(upstream);
     FakeRouters_await(&routers, is_reached);
     FakeRouters_run(&routers, LOOKS_MS);
     ck_assert_uint_eq(asked, 1);
@@ -190,10 +190,10 @@
 {
     begin(2, 0);
     holds = TRUE;
-    Upstream_noteUnreached(upstream);
+    Upstream_noteUnreachable(upstream);
     FakeRouters_await(&routers, is_asked);
-    Upstream_noteUnreached(upstream);
-    Upstream_noteHeardDoubt(upstream);
+    Upstream_noteUnreachable(upstream);
+    Upstream_notePeerSuspicion(upstream);
     FakeRouters_run(&routers, TIMEOUT_MS / 4);
     ck_assert_uint_eq(probes(), 1);
     evhttp_send_reply(held, HTTP_OK, NULL, NULL);
@@ -208,7 +208,7 @@
 {
     begin(1, 0);
     holds = TRUE;
-    Upstream_noteUnreached(upstream);
+    Upstream_noteUnreachable(upstream);
     FakeRouters_await(&routers, is_unanswered);
     ck_assert(upstream->suspect);
     holds = FALSE;
@@ -223,7 +223,7 @@
 {
     begin(1, 0);
     holds = TRUE;
-    Upstream_noteUnreached(upstream);
+    Upstream_noteUnreachable(upstream);
     FakeRouters_await(&routers, is_unanswered);
     evhttp_send_reply(held, HTTP_OK, NULL, NULL);
     FakeRouters_await(&routers, is_asked_twice);
@@ -238,9 +238,9 @@
 {
     begin(1, 0);
     holds = TRUE;
-    Upstream_noteUnreached(upstream);
+    Upstream_noteUnreachable(upstream);
     FakeRouters_await(&routers, is_asked);
-    Upstream_noteReached(upstream, Clock_nowMs());
+    Upstream_noteReachable(upstream, Clock_nowMs());
     FakeRouters_run(&routers, TIMEOUT_MS + LOOKS_MS);
     ck_assert_uint_eq(upstream->unanswered, 0);
     ck_assert(!upstream->suspect);
@@ -253,7 +253,7 @@
 {
     begin(1, 0);
     holds = TRUE;
-    Upstream_noteUnreached(upstream);
+    Upstream_noteUnreachable(upstream);
     FakeRouters_await(&routers, is_asked);
     UpstreamSet_drop(routers.upstreams, "u");
     FakeRouters_run(&routers, TIMEOUT_MS + LOOKS_MS);
@@ -266,7 +266,7 @@
 {
     begin(1, 0);
     holds = TRUE;
-    Upstream_noteUnreached(upstream);
+    Upstream_noteUnreachable(upstream);
     FakeRouters_await(&routers, is_asked);
     UpstreamProber_destroy(prober);
     prober = NULL;
@@ -300,7 +300,7 @@
 START_TEST(a_peers_doubt_is_asked_about_by_a_few)
 {
     begin(MANY, which_router(TRUE));
-    Upstream_noteHeardDoubt(upstream);
+    Upstream_notePeerSuspicion(upstream);
     FakeRouters_await(&routers, is_reached);
     ck_assert_uint_eq(probes(), 1);
     end();
@@ -311,7 +311,7 @@
 {
     begin(MANY, which_router(FALSE));
     gint64 began_ms = Clock_nowMs();
-    Upstream_noteHeardDoubt(upstream);
+    Upstream_notePeerSuspicion(upstream);
     FakeRouters_await(&routers, is_probed);
     ck_assert_int_ge(Clock_nowMs() - began_ms, PATIENCE_MS);
     FakeRouters_await(&routers, is_reached);
@@ -322,10 +322,10 @@
 START_TEST(the_word_of_those_ends_a_peers_doubt_without_a_probe)
 {
     begin(MANY, which_router(FALSE));
-    Upstream_noteDoubt(upstream, Clock_nowMs());
-    Upstream_noteHeardDoubt(upstream);
+    Upstream_noteSuspicionReport(upstream, Clock_nowMs());
+    Upstream_notePeerSuspicion(upstream);
     FakeRouters_run(&routers, LOOKS_MS);
-    ck_assert(Upstream_settleDoubt(upstream));
+    ck_assert(Upstream_resolveSuspicion(upstream));
     FakeRouters_run(&routers, LOOKS_MS);
     ck_assert(!upstream->suspect);
     ck_assert_uint_eq(probes(), 0);
@@ -336,11 +336,11 @@
 START_TEST(what_it_finds_out_for_itself_is_asked_about_at_once)
 {
     begin(MANY, which_router(FALSE));
-    Upstream_noteHeardDoubt(upstream);
+    Upstream_notePeerSuspicion(upstream);
     FakeRouters_run(&routers, LOOKS_MS);
     ck_assert_uint_eq(probes(), 0);
-    Upstream_noteUnreached(upstream);
-    ck_assert(!Upstream_settleDoubt(upstream) || upstream->suspect);
+    Upstream_noteUnreachable(upstream);
+    ck_assert(!Upstream_resolveSuspicion(upstream) || upstream->suspect);
     FakeRouters_await(&routers, is_reached);
     ck_assert_uint_eq(probes(), 1);
     end();
