--- a/src/Attempt.c
+++ b/src/Attempt.c
@@ -22,7 +22,7 @@
     SseParser_t *parser;
     GString *refusal_body; /* of an answer without an event stream */
     EngineHead_t head;
-    EngineForm_t form;
+    EngineEventFormat_t form;
     guint64 next_index;
     AttemptEnd_t fault;
     gboolean has_fault;
--- a/src/Context.h
+++ b/src/Context.h
@@ -18,10 +18,10 @@
 #include "CustomerLimits.h"
 #include "DeferredCalls.h"
 #include "Dispatch.h"
+#include "EngineSplit.h"
 #include "EstimateError.h"
 #include "Membership.h"
-#include "NamedWeights.h"
-#include "PauseGuard.h"
+#include "ModelVersions.h"
 #include "PeerDatagrams.h"
 #include "Policy.h"
 #include "RateLimits.h"
@@ -83,11 +83,11 @@
     const Settings_t *settings;
     const struct PlatformForm *form;
     RouteTable_t *routes;
-    NamedWeights_t *weights;
+    ModelVersions_t *weights;
     UpstreamListing_t *listing;
     CacheStore_t *cache_store;
     GHashTable *speeds;
-    PauseGuard_t *pauses;
+    EngineSplit_t *pauses;
     RunTimes_t *run_times;
     EstimateError_t *estimate_error;
     struct LoadShare *load_share;
--- a/src/EngineHttp.c
+++ b/src/EngineHttp.c
@@ -12,7 +12,7 @@
 }
 
 static GBytes *
-bytes_of(json_t *body)
+dump_json(json_t *body)
 {
     char *text = json_dumps(body, JSON_COMPACT);
     json_decref(body);
@@ -20,52 +20,54 @@
 }
 
 static GBytes *
-start_body(const EngineOrder_t *order)
+start_body(const EngineStreamRequest_t *request)
 {
-    json_t *body = json_copy(order->prompt->body);
+    json_t *body = json_copy(request->prompt->body);
     json_object_del(body, "prompt_levels");
     json_object_set_new(body, "stream", json_true());
     json_object_set_new(body, "max_tokens",
-                        json_integer(order->prompt->max_tokens));
-    json_object_set_new(body, "cache_salt", json_string(order->salt));
-    json_object_set_new(body, "priority", json_integer(order->priority));
+                        json_integer(request->prompt->max_tokens));
+    json_object_set_new(body, "cache_salt", json_string(request->salt));
+    json_object_set_new(body, "priority", json_integer(request->priority));
     json_object_set_new(body, "expect_incarnation",
-                        json_integer((json_int_t)order->incarnation));
-    json_object_set_new(body, "expect_weights", json_string(order->weights));
-    if (order->sent_tokens > 0) {
+                        json_integer((json_int_t)request->incarnation));
+    json_object_set_new(body, "expect_weights", json_string(request->weights));
+    if (request->sent_tokens > 0) {
         json_object_set_new(
             body, "sent_text",
-            json_stringn(order->sent_text->str, order->sent_text->len));
+            json_stringn(request->sent_text->str, request->sent_text->len));
         json_object_set_new(body, "sent_tokens",
-                            json_integer((json_int_t)order->sent_tokens));
+                            json_integer((json_int_t)request->sent_tokens));
     }
-    return bytes_of(body);
+    return dump_json(body);
 }
 
 static GBytes *
 resume_body(const char *stream, guint64 offset)
 {
-    return bytes_of(json_pack("{s:s, s:I}", "stream", stream, "offset",
-                              (json_int_t)offset));
+    return dump_json(json_pack("{s:s, s:I}", "stream", stream, "offset",
+                               (json_int_t)offset));
 }
 
 static GBytes *
 cancel_body(const char *stream, const char *attempt)
 {
-    return bytes_of(
+    return dump_json(
         json_pack("{s:s, s:s}", "stream", stream, "attempt", attempt));
 }
 
 static guint64
-header_number(struct evkeyvalq *headers, const char *name)
+read_header_number(struct evkeyvalq *headers, const char *name)
 {
     const char *text = evhttp_find_header(headers, name);
     return text ? g_ascii_strtoull(text, NULL, 10) : 0;
 }
 
-/* It goes into JSON, which can't hold what is not UTF-8. */
+/* Reads a header whose value the router later writes into JSON, so it must be
+ * valid UTF-8. */
 static gboolean
-header_text(struct evkeyvalq *headers, const char *name, char *out, gsize size)
+read_header_text(struct evkeyvalq *headers, const char *name, char *out,
+                 gsize size)
 {
     const char *text = evhttp_find_header(headers, name);
     return text && g_utf8_validate(text, -1, NULL) &&
@@ -77,21 +79,23 @@
 {
     const char *attempt = evhttp_find_header(headers, ATTEMPT_HEADER);
     g_string_assign(head->attempt, attempt ? attempt : "");
-    head->incarnation = header_number(headers, "X-Engine-Incarnation");
-    head->prompt_tokens = (guint)header_number(headers, "X-Prompt-Tokens");
-    head->cached_tokens = (guint)header_number(headers, "X-Cached-Tokens");
-    head->running = (guint)header_number(headers, "X-Load-Running");
+    head->incarnation = read_header_number(headers, "X-Engine-Incarnation");
+    head->prompt_tokens =
+        (guint)read_header_number(headers, "X-Prompt-Tokens");
+    head->cached_tokens =
+        (guint)read_header_number(headers, "X-Cached-Tokens");
+    head->running = (guint)read_header_number(headers, "X-Load-Running");
     head->waiting_tokens =
-        (gint64)header_number(headers, "X-Load-Waiting-Tokens");
-    return header_text(headers, "X-Stream-Id", head->stream,
-                       sizeof(head->stream)) &&
-           header_text(headers, "X-Weights-Version", head->weights,
-                       sizeof(head->weights)) &&
+        (gint64)read_header_number(headers, "X-Load-Waiting-Tokens");
+    return read_header_text(headers, "X-Stream-Id", head->stream,
+                            sizeof(head->stream)) &&
+           read_header_text(headers, "X-Weights-Version", head->weights,
+                            sizeof(head->weights)) &&
            head->incarnation != 0;
 }
 
 static const char *
-text_of_choice(const json_t *choice, gsize *length)
+find_choice_text(const json_t *choice, gsize *length)
 {
     const json_t *text = json_object_get(choice, "text");
     if (!text) {
@@ -102,23 +106,23 @@
 }
 
 static gboolean
-read_in_full(const EngineHead_t *head, const char *data, gsize length,
-             EngineToken_t *token, json_t **keep)
+parse_event(const EngineHead_t *head, const char *data, gsize length,
+            EngineToken_t *token, json_t **json)
 {
-    *keep = json_loadb(data, length, 0, NULL);
-    const char *stream = Json_text(*keep, "id");
+    *json = json_loadb(data, length, 0, NULL);
+    const char *stream = Json_text(*json, "id");
     if (!stream || strcmp(stream, head->stream) != 0) {
         return FALSE;
     }
     const json_t *choice =
-        json_array_get(json_object_get(*keep, "choices"), 0);
-    token->text = text_of_choice(choice, &token->length);
+        json_array_get(json_object_get(*json, "choices"), 0);
+    token->text = find_choice_text(choice, &token->length);
     token->finish = Json_text(choice, "finish_reason");
     return token->text != NULL;
 }
 
 static gboolean
-is_plain(const char *text, gsize length)
+needs_no_escape(const char *text, gsize length)
 {
     for (gsize i = 0; i < length; i++) {
         if ((guchar)text[i] < ' ' || text[i] == '"' || text[i] == '\\') {
@@ -128,69 +132,72 @@
     return g_utf8_validate_len(text, length, NULL);
 }
 
-/* A form is true if another text put into it is read as the text. */
+/* Verifies a learned format: an event that is built from it with another text
+ * must parse to exactly that text. */
 static gboolean
-is_true_form(const EngineHead_t *head, const EngineForm_t *form)
+verify_format(const EngineHead_t *head, const EngineEventFormat_t *format)
 {
-    static const char mark[] = "another text";
+    static const char sample[] = "another text";
     GString *data =
-        g_string_new_len(form->prefix->str, (gssize)form->prefix->len);
-    g_string_append(data, mark);
-    g_string_append_len(data, form->suffix->str, (gssize)form->suffix->len);
+        g_string_new_len(format->prefix->str, (gssize)format->prefix->len);
+    g_string_append(data, sample);
+    g_string_append_len(data, format->suffix->str,
+                        (gssize)format->suffix->len);
     EngineToken_t token = {0};
-    json_t *keep = NULL;
-    gboolean is_true =
-        read_in_full(head, data->str, data->len, &token, &keep) &&
-        strcmp(token.text, mark) == 0 && !token.finish;
-    json_decref(keep);
+    json_t *json = NULL;
+    gboolean is_valid =
+        parse_event(head, data->str, data->len, &token, &json) &&
+        strcmp(token.text, sample) == 0 && !token.finish;
+    json_decref(json);
     g_string_free(data, TRUE);
-    return is_true;
+    return is_valid;
 }
 
 static void
-learn_form(const EngineHead_t *head, const EngineToken_t *token,
-           const char *data, gsize length, EngineForm_t *form)
+learn_format(const EngineHead_t *head, const EngineToken_t *token,
+             const char *data, gsize length, EngineEventFormat_t *format)
 {
-    if (token->finish || !is_plain(token->text, token->length)) {
+    if (token->finish || !needs_no_escape(token->text, token->length)) {
         return;
     }
-    g_autofree char *quoted = g_strdup_printf(":\"%s\"", token->text);
-    const char *found = strstr(data, quoted);
-    if (!found) {
+    g_autofree char *quoted_text = g_strdup_printf(":\"%s\"", token->text);
+    const char *match = strstr(data, quoted_text);
+    if (!match) {
         return;
     }
-    const char *text = found + strlen(":\"");
-    const char *behind = text + token->length;
-    g_string_truncate(form->prefix, 0);
-    g_string_append_len(form->prefix, data, (gssize)(text - data));
-    g_string_truncate(form->suffix, 0);
-    g_string_append_len(form->suffix, behind,
-                        (gssize)(data + length - behind));
-    form->known = is_true_form(head, form);
+    const char *text = match + strlen(":\"");
+    const char *after = text + token->length;
+    g_string_truncate(format->prefix, 0);
+    g_string_append_len(format->prefix, data, (gssize)(text - data));
+    g_string_truncate(format->suffix, 0);
+    g_string_append_len(format->suffix, after,
+                        (gssize)(data + length - after));
+    format->known = verify_format(head, format);
 }
 
 static gboolean
-read_by_form(const EngineForm_t *form, const char *data, gsize length,
-             EngineToken_t *token)
-{
-    gsize around = form->prefix->len + form->suffix->len;
-    if (!form->known || length < around ||
-        memcmp(data, form->prefix->str, form->prefix->len) != 0 ||
-        memcmp(data + length - form->suffix->len, form->suffix->str,
-               form->suffix->len) != 0) {
+read_by_format(const EngineEventFormat_t *format, const char *data,
+               gsize length, EngineToken_t *token)
+{
+    gsize fixed_length = format->prefix->len + format->suffix->len;
+    if (!format->known || length < fixed_length ||
+        memcmp(data, format->prefix->str, format->prefix->len) != 0 ||
+        memcmp(data + length - format->suffix->len, format->suffix->str,
+               format->suffix->len) != 0) {
         return FALSE;
     }
-    token->text = data + form->prefix->len;
-    token->length = length - around;
-    return is_plain(token->text, token->length);
+    token->text = data + format->prefix->len;
+    token->length = length - fixed_length;
+    return needs_no_escape(token->text, token->length);
 }
 
 static gboolean
-read_event(const EngineHead_t *head, EngineForm_t *form, const char *id,
-           const char *data, gsize length, EngineToken_t *token, json_t **keep)
+read_event(const EngineHead_t *head, EngineEventFormat_t *format,
+           const char *id, const char *data, gsize length,
+           EngineToken_t *token, json_t **json)
 {
     *token = (EngineToken_t){0};
-    *keep = NULL;
+    *json = NULL;
     if (strcmp(data, "[DONE]") == 0) {
         token->end = TRUE;
         return TRUE;
@@ -199,14 +206,14 @@
                                            &token->index, NULL)) {
         return FALSE;
     }
-    if (read_by_form(form, data, length, token)) {
+    if (read_by_format(format, data, length, token)) {
         return TRUE;
     }
-    if (!read_in_full(head, data, length, token, keep)) {
+    if (!parse_event(head, data, length, token, json)) {
         return FALSE;
     }
-    if (!form->known) {
-        learn_form(head, token, data, length, form);
+    if (!format->known) {
+        learn_format(head, token, data, length, format);
     }
     return TRUE;
 }
--- a/src/EngineHttp.h
+++ b/src/EngineHttp.h
@@ -3,13 +3,13 @@
 /**
  * DOC: EngineHttp
  *
- * The completions API that engines speak, with the fields beside it that
- * routing needs: cache salt, priority, expected incarnation and weights, and
- * resume and cancel of a stream.
+ * The completions API of the engines, extended by what routing needs: fields
+ * for the cache salt, the priority, and the expected incarnation and weights,
+ * and calls to resume and cancel a stream.
  */
 #include "EngineWire.h"
 
-/** EngineHttp_wire - the table of functions */
+/** EngineHttp_wire - the completions API as an EngineWire_t */
 extern const EngineWire_t EngineHttp_wire;
 
 #endif
--- a/src/EngineWire.h
+++ b/src/EngineWire.h
@@ -3,8 +3,8 @@
 /**
  * DOC: EngineWire
  *
- * What routers and engines say to each other, apart from its form on the
- * wire. A form is one table of functions; EngineHttp.h is the one in use.
+ * The messages between routers and engines, independent of their wire format.
+ * A format is one table of functions; EngineHttp.h is the one in use.
  */
 #include <event2/http.h>
 #include <glib.h>
@@ -12,20 +12,21 @@
 #include "Prompt.h"
 #include "UpstreamNotice.h"
 
-/** Longest id of a stream that an engine may choose */
+/** Longest stream id that an engine may choose, in bytes */
 #define STREAM_ID_MAX 64
-/** Longest name of a version of weights */
+/** Longest name of a version of weights, in bytes */
 #define WEIGHTS_MAX 64
 
 /**
- * struct EngineOrder_t - a request for a new stream
+ * struct EngineStreamRequest_t - a request for a new stream
  * @prompt: the caller's request
  * @salt: cache salt in hex digits
- * @priority: a larger one goes first
- * @incarnation: refuse unless the engine is this one; 0 for any
- * @weights: refuse unless the engine has this version
- * @sent_text: answer that the caller has already, NULL for none
- * @sent_tokens: tokens of @sent_text; the stream goes on behind them
+ * @priority: requests with a larger one run first
+ * @incarnation: the engine refuses unless it is this one; 0 for any
+ * @weights: the engine refuses unless it has this version
+ * @sent_text: answer text that the caller has received already, or NULL
+ * @sent_tokens: number of tokens of @sent_text; the stream continues after
+ *     them
  */
 typedef struct {
     const Prompt_t *prompt;
@@ -35,18 +36,18 @@
     const char *weights;
     const GString *sent_text;
     guint64 sent_tokens;
-} EngineOrder_t;
+} EngineStreamRequest_t;
 
 /**
- * struct EngineHead_t - what an engine says before the first token
- * @attempt: id of the attempt that it answers
- * @stream: its id of the stream
- * @incarnation: its own
- * @weights: version that the answer comes from
+ * struct EngineHead_t - what an engine sends before the first token
+ * @attempt: id of the attempt that the engine answers
+ * @stream: the engine's id of the stream
+ * @incarnation: of the engine
+ * @weights: version of the weights that the answer comes from
  * @prompt_tokens: length of the prompt
- * @cached_tokens: of these, found in its cache
- * @running: streams that it has under way
- * @waiting_tokens: prompt tokens that it has yet to compute
+ * @cached_tokens: prompt tokens that were found in the engine's cache
+ * @running: number of streams that run on the engine
+ * @waiting_tokens: prompt tokens that the engine has yet to compute
  */
 typedef struct {
     GString *attempt;
@@ -61,11 +62,11 @@
 
 /**
  * struct EngineToken_t - one event of a stream
- * @end: the proper end mark; nothing else is set
- * @index: place in the answer, from 0
- * @text: its text, valid during the callback
- * @length: bytes of @text
- * @finish: why the answer ends with it, or NULL
+ * @end: whether this is the end-of-stream event; no other field is set then
+ * @index: position in the answer, from 0
+ * @text: text of the token, valid during the callback
+ * @length: length of @text in bytes
+ * @finish: finish reason if the answer ends with this token, else NULL
  */
 typedef struct {
     gboolean end;
@@ -76,27 +77,27 @@
 } EngineToken_t;
 
 /**
- * struct EngineForm_t - what all events of one stream look like
+ * struct EngineEventFormat_t - the constant parts of the events of one stream
  * @prefix: bytes before the text
- * @suffix: bytes behind the text
- * @known: both were learned, from an event that was read in full
+ * @suffix: bytes after the text
+ * @known: whether both were learned, from an event that was parsed as JSON
  *
- * Events of a stream differ in their text alone, so that most need not be
- * read as JSON each.
+ * The events of a stream differ only in their text, so most of them need not
+ * be parsed as JSON.
  */
 typedef struct {
     GString *prefix;
     GString *suffix;
     gboolean known;
-} EngineForm_t;
+} EngineEventFormat_t;
 
 /**
  * struct EngineRefusal_t - an answer that is not a stream
- * @not_run: the engine says that it did not run
- * @final: the request itself is at fault, no other engine will take it
- * @leaving: the engine takes no new work
- * @incarnation: its own, where the request was planned for another; else 0
- * @code: the engine's reason
+ * @not_run: the engine reports that it has not run the request
+ * @final: the request itself is invalid, so no other engine will accept it
+ * @leaving: the engine accepts no new work
+ * @incarnation: of the engine, if the request expected another one; else 0
+ * @code: the engine's error code
  */
 typedef struct {
     gboolean not_run;
@@ -107,36 +108,40 @@
 } EngineRefusal_t;
 
 /**
- * struct EngineWire_t - one form on the wire
- * @start_path: where a new stream is asked for
- * @start_body: the request for one
- * @resume_path: where a known stream is asked for
- * @resume_body: the request for its tokens from @offset on
- * @cancel_path: where a stream is ended
- * @cancel_body: the request to end it, if @attempt was the last to read it
- * @read_head: FALSE where something is missing
- * @read_event: FALSE where it is no event of this stream; @form is learned;
- *     @keep gets what @token points into and is freed with json_decref()
- * @read_refusal: what a status other than 200 means
- * @notices: what the head of any answer says of its upstream
+ * struct EngineWire_t - a wire format between routers and engines
+ * @start_path: returns the path to request a new stream from
+ * @start_body: returns the body of that request
+ * @resume_path: path to request a known stream from
+ * @resume_body: returns the request for its tokens from @offset on
+ * @cancel_path: path to cancel a stream
+ * @cancel_body: returns the request to cancel the stream, which takes effect
+ *     only if @attempt was the last attempt to read it
+ * @read_head: returns FALSE if something is missing
+ * @read_event: returns FALSE if the data is no event of this stream. Learns
+ *     @format; sets @json to the value that @token points into, or NULL, which
+ *     the caller releases with json_decref()
+ * @read_refusal: reads an answer with a status other than 200
+ * @notices: headers by which any answer carries notices of its upstream
  */
 typedef struct {
     const char *(*start_path)(const Prompt_t *prompt);
-    GBytes *(*start_body)(const EngineOrder_t *order);
+    GBytes *(*start_body)(const EngineStreamRequest_t *request);
     const char *resume_path;
     GBytes *(*resume_body)(const char *stream, guint64 offset);
     const char *cancel_path;
     GBytes *(*cancel_body)(const char *stream, const char *attempt);
     gboolean (*read_head)(struct evkeyvalq *headers, EngineHead_t *head);
-    gboolean (*read_event)(const EngineHead_t *head, EngineForm_t *form,
-                           const char *id, const char *data, gsize length,
-                           EngineToken_t *token, json_t **keep);
+    gboolean (*read_event)(const EngineHead_t *head,
+                           EngineEventFormat_t *format, const char *id,
+                           const char *data, gsize length,
+                           EngineToken_t *token, json_t **json);
     void (*read_refusal)(int status, const char *body, gsize length,
                          EngineRefusal_t *refusal);
     UpstreamNoticeForm_t notices;
 } EngineWire_t;
 
-/** Header that carries our id of an attempt, both ways */
+/** Header that carries the router's id of an attempt, in requests and answers
+ */
 #define ATTEMPT_HEADER "X-Attempt-Id"
 
 #endif
--- a/src/Lease.c
+++ b/src/Lease.c
@@ -10,14 +10,16 @@
 
 #define STREAM "leases"
 #define TICK_MS 100
+/* Mean time before a failed read is retried. */
 #define RETRY_MS 300
-/* After failures in a row the pause is doubled so often: as many routers as
- * may step in for a silent holder would keep a store busy that comes back. */
-#define RETRY_DOUBLINGS 3
-/* Clocks may drift apart by one part in so many. */
-#define DRIFT_PARTS 20
-#define LEAST_MARGIN_MS 50
-/* Silence of so many leases proves that nobody holds one. */
+/* How often the retry time is doubled after consecutive failures. Without
+ * backoff, the routers that may take over from a silent holder would overload
+ * a store that comes back. */
+#define RETRY_DOUBLINGS_MAX 3
+/* Clocks may drift apart by 1/20 of a duration. */
+#define DRIFT_DIVISOR 20
+#define MARGIN_MIN_MS 50
+/* Silence for this many lease durations proves that nobody holds a lease. */
 #define SILENT_LEASES 3
 
 struct Lease {
@@ -31,19 +33,18 @@
     gboolean reading;
     gboolean wanted;
     gboolean followed;
-    gboolean released; /* for good: the router stops */
-    guint64 epoch;     /* of the log in which the stream is folded */
-    gint64 epoch_ms;   /* when it was first known, 0 where none is */
-    guint failures;    /* of reads, in a row */
-    gint64 patience_ms;
-    guint64 seen_number; /* current lease, whoever has it */
-    gint64 seen_ms;      /* when it was first read here */
-    gint64
-        heard_ms;   /* when the last record that counts was read, 0 for none */
-    guint64 number; /* of ours */
-    guint64 term;   /* number at which we took it */
-    gint64 began_ms; /* before its append was sent */
-    gint64 sent_ms;  /* of the append under way or undecided */
+    gboolean released; /* permanently, as the router stops */
+    guint64 epoch;     /* of the log that the folded records are from */
+    gint64 epoch_ms;   /* when that epoch became known, 0 before the first */
+    guint failures;    /* consecutive failed reads */
+    gint64 delay_ms;   /* extra wait before taking an expired lease */
+    guint64 current_number; /* of the current lease, of any holder */
+    gint64 current_seen_ms; /* when the current lease was first read */
+    gint64 last_record_ms;  /* when this epoch's last record was read, or 0 */
+    guint64 number;         /* of this router's lease, 0 for none */
+    guint64 term;           /* number at which this router took its lease */
+    gint64 began_ms; /* start of its lease: before the append was sent */
+    gint64 sent_ms;  /* when the append with @sent_expects was first sent */
     guint64 sent_expects;
     gboolean append_open;
     struct event *tick;
@@ -53,13 +54,13 @@
 static void read_next(Lease_t *this);
 
 static gint64
-margin_of(gint64 duration_ms)
+drift_margin_ms(gint64 duration_ms)
 {
-    return MAX(duration_ms / DRIFT_PARTS, LEAST_MARGIN_MS);
+    return MAX(duration_ms / DRIFT_DIVISOR, MARGIN_MIN_MS);
 }
 
 static gboolean
-is_ours(const Lease_t *this, const LeaseEntry_t *entry)
+is_local(const Lease_t *this, const LeaseEntry_t *entry)
 {
     return entry && entry->incarnation == this->spec.incarnation &&
            strcmp(entry->holder->str, this->holder->str) == 0;
@@ -75,34 +76,36 @@
 }
 
 static gint64
-left_ms(const Lease_t *this)
+remaining_ms(const Lease_t *this)
 {
     gint64 duration_ms = this->spec.duration_ms;
-    gint64 end_ms = this->began_ms + duration_ms - margin_of(duration_ms);
+    gint64 end_ms =
+        this->began_ms + duration_ms - drift_margin_ms(duration_ms);
     return MAX(end_ms - Clock_nowMs(), 0);
 }
 
 static void
-lose(Lease_t *this)
+lose_lease(Lease_t *this)
 {
     log_lease(this, "lease_lost", this->number);
     this->number = 0;
     this->term = 0;
 }
 
-/* Our own record that landed late counts from when it was sent, which only
- * makes the lease shorter. */
+/* Updates the state of this router's lease from the table. A lease counts from
+ * when its record was sent, so a record that is appended late only makes the
+ * lease shorter. */
 static void
-note_current(Lease_t *this)
+update_current(Lease_t *this)
 {
     const LeaseEntry_t *entry = LeaseTable_find(this->table, this->scope->str);
     guint64 number = entry ? entry->number : 0;
-    if (number == this->seen_number) {
+    if (number == this->current_number) {
         return;
     }
-    this->seen_number = number;
-    this->seen_ms = Clock_nowMs();
-    if (is_ours(this, entry)) {
+    this->current_number = number;
+    this->current_seen_ms = Clock_nowMs();
+    if (is_local(this, entry)) {
         if (this->number == 0) {
             log_lease(this, "lease_taken", number);
             this->term = number;
@@ -111,15 +114,15 @@
         this->began_ms = this->sent_ms;
     }
     else if (this->number != 0) {
-        lose(this);
+        lose_lease(this);
     }
 }
 
 static void
-note_heard(Lease_t *this, const Wt__LeaseRecord *record)
+note_record_time(Lease_t *this, const Wt__LeaseRecord *record)
 {
     if (record->epoch == this->epoch) {
-        this->heard_ms = Clock_nowMs();
+        this->last_record_ms = Clock_nowMs();
     }
 }
 
@@ -132,13 +135,13 @@
             g_bytes_get_data(g_ptr_array_index(records->records, i), &size);
         Wt__LeaseRecord *record = wt__lease_record__unpack(NULL, size, bytes);
         if (record) {
-            note_heard(this, record);
+            note_record_time(this, record);
             LeaseTable_fold(this->table, records->first + i, record);
             wt__lease_record__free_unpacked(record, NULL);
         }
     }
     this->fold_offset = records->first + records->records->len;
-    note_current(this);
+    update_current(this);
 }
 
 static void
@@ -148,36 +151,38 @@
     Log_text("scope", this->scope->str);
     Log_number("epoch", (gint64)this->epoch);
     Log_number("number", (gint64)this->number);
-    Log_number("left_ms", this->number != 0 ? left_ms(this) : 0);
+    Log_number("left_ms", this->number != 0 ? remaining_ms(this) : 0);
     Log_end();
 }
 
-/* A lease whose record was lost is still ours: nobody takes one before all
- * that may have been granted is over. One that is over may have been followed
- * by another that was lost with it. */
+/* Restarts the fold in a new epoch of the log. A lease of this router whose
+ * record was lost stays valid, as no router takes a lease before all that may
+ * have been granted have expired. An expired one is given up, as the log may
+ * have lost a later lease of another router too. */
 static void
 begin_epoch(Lease_t *this, guint64 epoch)
 {
-    gboolean is_return = this->epoch_ms > 0;
+    gboolean is_restored = this->epoch_ms > 0;
     this->epoch = epoch;
     this->epoch_ms = StoreEpoch_sinceMs(this->spec.epoch);
     this->fold_offset = 0;
     this->caught_up = FALSE;
-    this->heard_ms = 0;
-    this->seen_number = 0;
+    this->last_record_ms = 0;
+    this->current_number = 0;
     this->sent_ms = 0;
     LeaseTable_beginEpoch(this->table, epoch);
-    if (is_return) {
+    if (is_restored) {
         log_epoch(this);
     }
-    if (this->number != 0 && left_ms(this) == 0) {
-        lose(this);
+    if (this->number != 0 && remaining_ms(this) == 0) {
+        lose_lease(this);
     }
 }
 
-/* What was known may have been followed by records that are gone. */
+/* Restarts the fold at @start. The records between the fold offset and @start
+ * have expired, and may have replaced the known lease. */
 static void
-begin_anew(Lease_t *this, guint64 start)
+restart_fold(Lease_t *this, guint64 start)
 {
     Log_begin(LOG_LEVEL_INFO, "lease_records_gone");
     Log_text("scope", this->scope->str);
@@ -186,26 +191,27 @@
     Log_end();
     this->fold_offset = start;
     this->caught_up = FALSE;
-    LeaseTable_setUnsure(this->table);
-    note_current(this);
+    LeaseTable_setUnconfirmed(this->table);
+    update_current(this);
 }
 
 static void
-note_failed(Lease_t *this)
+schedule_retry(Lease_t *this)
 {
-    guint32 mean_ms = RETRY_MS << MIN(this->failures, RETRY_DOUBLINGS);
+    guint32 mean_ms = RETRY_MS << MIN(this->failures, RETRY_DOUBLINGS_MAX);
     this->caught_up = FALSE;
     this->failures++;
     Clock_arm(this->retry, mean_ms / 2 + Random_below(mean_ms));
 }
 
-/* What was asked for in an epoch says nothing of another one, but for the
- * first read of all, which began at the start.
+/* Begins a new epoch if @epoch differs from the current one. Records that were
+ * read by an offset of an earlier epoch are useless, except for those of the
+ * very first read, which starts at offset 0.
  *
- * Return: whether the records are still of use
+ * Return: whether the records can be folded
  */
 static gboolean
-take_epoch(Lease_t *this, guint64 epoch)
+check_epoch(Lease_t *this, guint64 epoch)
 {
     gboolean is_first = this->epoch_ms == 0;
     if (is_first || epoch != this->epoch) {
@@ -219,17 +225,17 @@
 on_read(const LogRecords_t *records, const GError *error, void *data)
 {
     Lease_t *this = data;
-    if (records && !take_epoch(this, records->epoch)) {
+    if (records && !check_epoch(this, records->epoch)) {
         read_next(this);
         return;
     }
     if (records && error) {
-        begin_anew(this, records->start);
+        restart_fold(this, records->start);
         read_next(this);
         return;
     }
     if (!records) {
-        note_failed(this);
+        schedule_retry(this);
         return;
     }
     this->failures = 0;
@@ -247,7 +253,8 @@
     return this->caught_up ? STORE_FOLLOW : STORE_START;
 }
 
-/* Who neither wants nor follows the lease need not read the stream. */
+/* Reads the stream only while the lease is wanted, followed or held, to save
+ * calls to the store. */
 static void
 read_next(Lease_t *this)
 {
@@ -288,7 +295,7 @@
 }
 
 static void
-append(Lease_t *this, guint64 expects, gint64 duration_ms)
+append_record(Lease_t *this, guint64 expects, gint64 duration_ms)
 {
     StoreCalls_note(this->spec.counters, STREAM,
                     append_cause(this, duration_ms));
@@ -299,13 +306,13 @@
     record.expects = expects;
     record.duration_ms = (guint32)duration_ms;
     record.epoch = this->epoch;
-    record.over = LeaseTable_over(this->table);
+    record.over = LeaseTable_maxEndedNumber(this->table);
     gsize size = wt__lease_record__get_packed_size(&record);
     guint8 *bytes = g_malloc(size);
     wt__lease_record__pack(&record, bytes);
     GBytes *packed = g_bytes_new_take(bytes, size);
-    /* A second try for the same number keeps the first one's time, as either
-     * of the two records may be the one that lands. */
+    /* A retry for the same number keeps the time of the first attempt, as
+     * either of the two records may be the one that takes effect. */
     if (this->sent_expects != expects || this->sent_ms == 0) {
         this->sent_ms = Clock_nowMs();
         this->sent_expects = expects;
@@ -315,60 +322,64 @@
     g_bytes_unref(packed);
 }
 
-/* Where there is no lease, one may have been lost with the end of the epoch
- * before. */
+/* Whether the current lease has expired, plus the extra delay. If there is no
+ * lease, a lease of the previous epoch may have been lost with its record, so
+ * a full duration from the start of the epoch is waited for. */
 static gboolean
-is_waited_out(const Lease_t *this, const LeaseEntry_t *entry)
+has_expired(const Lease_t *this, const LeaseEntry_t *entry)
 {
-    gint64 from_ms = entry ? this->seen_ms : this->epoch_ms;
-    gint64 lasts_ms = entry ? entry->duration_ms : this->spec.duration_ms;
-    return Clock_nowMs() - from_ms >=
-           lasts_ms + margin_of(lasts_ms) + this->patience_ms;
+    gint64 start_ms = entry ? this->current_seen_ms : this->epoch_ms;
+    gint64 duration_ms = entry ? entry->duration_ms : this->spec.duration_ms;
+    return Clock_nowMs() - start_ms >=
+           duration_ms + drift_margin_ms(duration_ms) + this->delay_ms;
 }
 
-/* A holder renews several times in its lease; a stream that has been silent
- * for a few leases has none. */
+/* Whether the scope's lease is known. A holder renews several times within a
+ * lease, so an unconfirmed table is confirmed after SILENT_LEASES durations
+ * without any record, or at once if none was read in this epoch. */
 static gboolean
-is_sure(Lease_t *this)
+try_confirm_table(Lease_t *this)
 {
-    if (!LeaseTable_isUnsure(this->table, this->scope->str)) {
+    if (!LeaseTable_isUnconfirmed(this->table, this->scope->str)) {
         return TRUE;
     }
-    if (this->heard_ms > 0 && Clock_nowMs() - this->heard_ms <
-                                  SILENT_LEASES * this->spec.duration_ms) {
+    if (this->last_record_ms > 0 &&
+        Clock_nowMs() - this->last_record_ms <
+            SILENT_LEASES * this->spec.duration_ms) {
         return FALSE;
     }
-    LeaseTable_setSure(this->table, this->fold_offset);
-    note_current(this);
+    LeaseTable_setConfirmed(this->table, this->fold_offset);
+    update_current(this);
     return TRUE;
 }
 
-/* What the log has lost of it is written again at once. */
+/* A lease whose record the log has lost is appended again at once. */
 static gboolean
-is_to_renew(const Lease_t *this)
+needs_renewal(const Lease_t *this)
 {
     gint64 age_ms = Clock_nowMs() - this->began_ms;
-    return this->seen_number == 0 || age_ms >= this->spec.duration_ms / 3;
+    return this->current_number == 0 || age_ms >= this->spec.duration_ms / 3;
 }
 
 static gboolean
-is_to_take(const Lease_t *this)
+may_take(const Lease_t *this)
 {
-    return is_waited_out(this, LeaseTable_find(this->table, this->scope->str));
+    return has_expired(this, LeaseTable_find(this->table, this->scope->str));
 }
 
 static void
 renew_or_take(Lease_t *this)
 {
-    if (this->number != 0 && this->seen_number == 0 && left_ms(this) == 0) {
-        lose(this);
+    if (this->number != 0 && this->current_number == 0 &&
+        remaining_ms(this) == 0) {
+        lose_lease(this);
     }
     if (!this->wanted || !this->caught_up || this->append_open ||
-        !is_sure(this)) {
+        !try_confirm_table(this)) {
         return;
     }
-    if (this->number != 0 ? is_to_renew(this) : is_to_take(this)) {
-        append(this, this->seen_number, this->spec.duration_ms);
+    if (this->number != 0 ? needs_renewal(this) : may_take(this)) {
+        append_record(this, this->current_number, this->spec.duration_ms);
     }
 }
 
@@ -391,7 +402,7 @@
     this->scope = g_string_new(spec->scope);
     this->holder = g_string_new(spec->holder);
     this->table = LeaseTable_create();
-    this->seen_ms = Clock_nowMs();
+    this->current_seen_ms = Clock_nowMs();
     this->tick = Clock_timer(base, on_tick, this);
     this->retry = Clock_timer(base, on_retry, this);
     Clock_arm(this->tick, TICK_MS);
@@ -410,16 +421,16 @@
 }
 
 void
-Lease_want(Lease_t *this, gboolean wanted, gint64 patience_ms)
+Lease_setWanted(Lease_t *this, gboolean wanted, gint64 delay_ms)
 {
     this->wanted = wanted;
-    this->patience_ms = patience_ms;
+    this->delay_ms = delay_ms;
     if (wanted && !this->reading) {
         read_next(this);
     }
 }
 
-/* A record of no duration follows ours; nobody has to wait it out. */
+/* Appends a record of zero duration, which others need not wait for. */
 void
 Lease_release(Lease_t *this)
 {
@@ -427,12 +438,12 @@
     this->released = TRUE;
     if (this->number != 0 && !this->append_open) {
         log_lease(this, "lease_released", this->number);
-        append(this, this->seen_number, 0);
+        append_record(this, this->current_number, 0);
     }
 }
 
 void
-Lease_follow(Lease_t *this, gboolean followed)
+Lease_setFollowed(Lease_t *this, gboolean followed)
 {
     this->followed = followed;
     if (followed && !this->reading) {
@@ -446,7 +457,7 @@
     if (this->number == 0 || this->released) {
         return 0;
     }
-    return left_ms(this);
+    return remaining_ms(this);
 }
 
 guint64
--- a/src/Lease.h
+++ b/src/Lease.h
@@ -3,15 +3,15 @@
 /**
  * DOC: Lease
  *
- * One scope's lease as a router sees it: it follows the stream "leases",
- * takes the lease when nobody has it, and renews it. No two routers' clocks
- * are ever compared: a holder counts from before its append, the others from
- * after they read it, and both leave a margin for drift. The clock counts
- * suspension.
+ * The lease of one scope as a router sees it: reads the stream "leases", takes
+ * the lease when nobody holds it, and renews it. Clocks of different routers
+ * are never compared: a holder counts from before its append, the others from
+ * after they have read the record, and both leave a margin for drift. The
+ * clock counts time spent suspended.
  *
- * A log that comes back from an older copy has lost leases that may still run.
- * Whoever held one holds it to its end and may take it again at once; all
- * others wait for as long as any lease lasts.
+ * A log that is restored from an older copy may have lost leases that still
+ * run. A holder keeps its lease until it expires, and may take it again at
+ * once; all other routers wait for the duration of a whole lease.
  */
 #include <event2/event.h>
 
@@ -20,14 +20,14 @@
 #include "StoreEpoch.h"
 
 /**
- * struct LeaseSpec_t - what it needs
- * @log: must outlive it
- * @epoch: of the store that keeps the log
- * @scope: what the lease is about
+ * struct LeaseSpec_t - parameters of a lease
+ * @log: client of the log; must outlive the lease
+ * @epoch: epoch of the store that holds the log
+ * @scope: name of what the lease protects
  * @holder: name of this router
  * @incarnation: of this process
- * @duration_ms: of each lease
- * @poll_ms: how long the log may hold a read
+ * @duration_ms: duration of each lease
+ * @poll_ms: how long the log may hold a read open
  * @counters: for calls to the log; NULL for none
  */
 typedef struct {
@@ -44,43 +44,47 @@
 /** struct Lease_t - opaque */
 typedef struct Lease Lease_t;
 
-/** Lease_create() - it does not want the lease yet and follows nothing */
+/** Lease_create() - start neither wanting the lease nor reading the stream */
 Lease_t *Lease_create(struct event_base *base, const LeaseSpec_t *spec);
 
 /** Lease_destroy() - free it; the log client must be freed first */
 void Lease_destroy(Lease_t *this);
 
 /**
- * Lease_want() - whether to take and keep the lease
- * @patience_ms: wait so much longer than needed before taking it
+ * Lease_setWanted() - set whether to take and renew the lease
+ * @delay_ms: extra time to wait before taking a lease that has expired
  */
-void Lease_want(Lease_t *this, gboolean wanted, gint64 patience_ms);
+void Lease_setWanted(Lease_t *this, gboolean wanted, gint64 delay_ms);
 
 /**
- * Lease_follow() - read the stream although the lease is not wanted now
+ * Lease_setFollowed() - set whether to read the stream even while the lease
+ * is not wanted
  *
- * Who knows how long ago the last lease began can take one at once.
+ * A router that knows when the last lease began can take an expired one
+ * without waiting.
  */
-void Lease_follow(Lease_t *this, gboolean followed);
+void Lease_setFollowed(Lease_t *this, gboolean followed);
 
 /**
- * Lease_release() - let others take a lease that is ours at once
+ * Lease_release() - end a lease of this router, so that others can take it
+ * at once
  *
- * It is wanted no more, and counts as lost from now on.
+ * The lease is no longer wanted, and counts as lost from this call on.
  */
 void Lease_release(Lease_t *this);
 
-/** Lease_remainingMs() - how long it is surely ours, 0 where it is not */
+/** Lease_remainingMs() - how long this router is certain to hold the lease; 0
+ * if it does not */
 gint64 Lease_remainingMs(const Lease_t *this);
 
 /**
  * Lease_term() - number at which this router took the lease
  *
- * It stays the same over renewals, and 0 stands for no lease.
+ * Renewals do not change it. 0 means that this router holds no lease.
  */
 guint64 Lease_term(const Lease_t *this);
 
-/** Lease_number() - fencing number of the lease that is ours */
+/** Lease_number() - fencing number of this router's lease; 0 for no lease */
 guint64 Lease_number(const Lease_t *this);
 
 #endif
--- a/src/LeaseTable.c
+++ b/src/LeaseTable.c
@@ -1,16 +1,16 @@
 #include "LeaseTable.h"
 
-/* Bits of a number that tell the place of its record in its epoch, so that a
- * number of a later epoch is larger than any before. JSON numbers are exact up
- * to 53 bits, which leaves two million epochs. */
-#define PLACE_BITS 32
+/* Low bits of a fencing number, which hold the offset of its record. The epoch
+ * is in the bits above, so numbers of a later epoch are larger. JSON numbers
+ * are exact up to 53 bits, which leaves two million epochs. */
+#define OFFSET_BITS 32
 
 struct LeaseTable {
-    GHashTable *entries;  /* scope -> LeaseEntry_t */
-    GHashTable *unproved; /* scope -> LeaseEntry_t of its last record */
-    gboolean unsure;
+    GHashTable *entries;      /* scope -> LeaseEntry_t */
+    GHashTable *unconfirmed;  /* scope -> LeaseEntry_t of its last record */
+    gboolean has_unconfirmed; /* older records have expired */
     guint64 epoch;
-    guint64 over; /* leases up to this number are */
+    guint64 max_ended; /* leases up to this number have ended */
 };
 
 static void
@@ -27,7 +27,7 @@
     LeaseTable_t *this = g_new0(LeaseTable_t, 1);
     this->entries =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_entry);
-    this->unproved =
+    this->unconfirmed =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_entry);
     return this;
 }
@@ -36,7 +36,7 @@
 LeaseTable_destroy(LeaseTable_t *this)
 {
     g_hash_table_destroy(this->entries);
-    g_hash_table_destroy(this->unproved);
+    g_hash_table_destroy(this->unconfirmed);
     g_free(this);
 }
 
@@ -44,25 +44,27 @@
 LeaseTable_beginEpoch(LeaseTable_t *this, guint64 epoch)
 {
     this->epoch = epoch;
-    this->unsure = FALSE;
-    this->over = 0;
+    this->has_unconfirmed = FALSE;
+    this->max_ended = 0;
     g_hash_table_remove_all(this->entries);
-    g_hash_table_remove_all(this->unproved);
+    g_hash_table_remove_all(this->unconfirmed);
 }
 
-/* Of the record before an offset. */
+/* Fencing number of the record before an offset. */
 static guint64
 number_before(const LeaseTable_t *this, guint64 offset)
 {
-    return (this->epoch << PLACE_BITS) | offset;
+    return (this->epoch << OFFSET_BITS) | offset;
 }
 
-/* Routers that know different parts of the stream must agree on who is taken.
- * One that started after older records had expired can not name the last lease
- * that the others know, but that it is over, and the other way round. */
+/* Whether a record replaces the current lease. Routers that have read
+ * different parts of the stream must agree on this. A router that started
+ * after older records had expired does not know the last lease that others
+ * know, only that all leases up to some number have ended; so an ended lease
+ * matches on either side. */
 static gboolean
-follows(const LeaseTable_t *this, const Wt__LeaseRecord *record,
-        const LeaseEntry_t *current)
+replaces_current(const LeaseTable_t *this, const Wt__LeaseRecord *record,
+                 const LeaseEntry_t *current)
 {
     guint64 number = current ? current->number : 0;
     if (record->expects == number) {
@@ -71,7 +73,7 @@
     if (record->over > 0 && number <= record->over) {
         return TRUE;
     }
-    return number <= this->over && record->expects <= this->over;
+    return number <= this->max_ended && record->expects <= this->max_ended;
 }
 
 static LeaseEntry_t *
@@ -87,9 +89,9 @@
 }
 
 gboolean
-LeaseTable_isUnsure(const LeaseTable_t *this, const char *scope)
+LeaseTable_isUnconfirmed(const LeaseTable_t *this, const char *scope)
 {
-    return this->unsure && !LeaseTable_find(this, scope);
+    return this->has_unconfirmed && !LeaseTable_find(this, scope);
 }
 
 gboolean
@@ -99,41 +101,41 @@
     if (record->epoch != this->epoch) {
         return FALSE;
     }
-    gboolean unsure = LeaseTable_isUnsure(this, record->scope);
+    gboolean unconfirmed = LeaseTable_isUnconfirmed(this, record->scope);
     const LeaseEntry_t *current =
-        unsure ? g_hash_table_lookup(this->unproved, record->scope)
-               : LeaseTable_find(this, record->scope);
-    gboolean taken = follows(this, record, current);
-    if (unsure && !(taken && current)) {
-        g_hash_table_replace(this->unproved, g_strdup(record->scope),
+        unconfirmed ? g_hash_table_lookup(this->unconfirmed, record->scope)
+                    : LeaseTable_find(this, record->scope);
+    gboolean takes_effect = replaces_current(this, record, current);
+    if (unconfirmed && !(takes_effect && current)) {
+        g_hash_table_replace(this->unconfirmed, g_strdup(record->scope),
                              create_entry(this, offset, record));
         return FALSE;
     }
-    if (taken) {
+    if (takes_effect) {
         g_hash_table_replace(this->entries, g_strdup(record->scope),
                              create_entry(this, offset, record));
     }
-    return taken;
+    return takes_effect;
 }
 
 void
-LeaseTable_setUnsure(LeaseTable_t *this)
+LeaseTable_setUnconfirmed(LeaseTable_t *this)
 {
-    this->unsure = TRUE;
-    this->over = 0;
+    this->has_unconfirmed = TRUE;
+    this->max_ended = 0;
     g_hash_table_remove_all(this->entries);
-    g_hash_table_remove_all(this->unproved);
+    g_hash_table_remove_all(this->unconfirmed);
 }
 
 void
-LeaseTable_setSure(LeaseTable_t *this, guint64 offset)
+LeaseTable_setConfirmed(LeaseTable_t *this, guint64 offset)
 {
     GHashTableIter iter;
     gpointer scope = NULL;
     gpointer entry = NULL;
-    this->unsure = FALSE;
-    this->over = number_before(this, offset);
-    g_hash_table_iter_init(&iter, this->unproved);
+    this->has_unconfirmed = FALSE;
+    this->max_ended = number_before(this, offset);
+    g_hash_table_iter_init(&iter, this->unconfirmed);
     while (g_hash_table_iter_next(&iter, &scope, &entry)) {
         g_hash_table_iter_steal(&iter);
         if (LeaseTable_find(this, scope)) {
@@ -147,9 +149,9 @@
 }
 
 guint64
-LeaseTable_over(const LeaseTable_t *this)
+LeaseTable_maxEndedNumber(const LeaseTable_t *this)
 {
-    return this->over;
+    return this->max_ended;
 }
 
 const LeaseEntry_t *
--- a/src/LeaseTable.h
+++ b/src/LeaseTable.h
@@ -3,10 +3,10 @@
 /**
  * DOC: LeaseTable
  *
- * The fold of the log stream "leases". It knows no clock: a lease is followed
- * by another one as soon as a record that expects its number comes. Who
- * appends such a record waits the lease out first (Lease.h). Where the log has
- * come back older, only what was appended since counts.
+ * The fold of the log stream "leases". It uses no clock: a record that expects
+ * the number of the current lease replaces that lease. The router that appends
+ * such a record first waits until the lease has expired (Lease.h). If the log
+ * was restored from an older copy, only records appended since then count.
  */
 #include <glib.h>
 
@@ -14,10 +14,10 @@
 
 /**
  * struct LeaseEntry_t - the current lease of a scope
- * @number: fencing number, only grows, over epochs as well
+ * @number: fencing number; only grows, also across epochs
  * @holder: name of the router
- * @incarnation: of its process
- * @duration_ms: how long it lasts from its append
+ * @incarnation: of the router's process
+ * @duration_ms: how long the lease lasts from its append
  */
 typedef struct {
     guint64 number;
@@ -29,47 +29,49 @@
 /** struct LeaseTable_t - opaque */
 typedef struct LeaseTable LeaseTable_t;
 
-/** LeaseTable_create() - no leases */
+/** LeaseTable_create() - start without leases */
 LeaseTable_t *LeaseTable_create(void);
 
 /** LeaseTable_destroy() - free it */
 void LeaseTable_destroy(LeaseTable_t *this);
 
-/** LeaseTable_beginEpoch() - the log has come back older: no leases, and all
- * records are to be folded again */
+/** LeaseTable_beginEpoch() - clear the table after the log was restored from
+ * an older copy; the caller folds all records again */
 void LeaseTable_beginEpoch(LeaseTable_t *this, guint64 epoch);
 
 /**
- * LeaseTable_fold() - take the next record
+ * LeaseTable_fold() - apply the next record
  *
- * Return: whether it is the scope's current lease now
+ * Return: whether the record is now the scope's current lease
  */
 gboolean LeaseTable_fold(LeaseTable_t *this, guint64 offset,
                          const Wt__LeaseRecord *record);
 
 /**
- * LeaseTable_setUnsure() - older records have expired
+ * LeaseTable_setUnconfirmed() - clear the table after older records expired
  *
- * Of the first record of an unknown scope nobody can say whether it was
- * taken. One that expects it proves that it was, as its appender knew. Until
- * then the scope has no lease here.
+ * Whether the first record of an unknown scope took effect can't be told from
+ * the record alone. A record that expects its number confirms it, as the
+ * appender knew the older records. Until then the scope has no lease here.
  */
-void LeaseTable_setUnsure(LeaseTable_t *this);
+void LeaseTable_setUnconfirmed(LeaseTable_t *this);
 
 /**
- * LeaseTable_setSure() - nobody has renewed for long
- * @offset: all leases before it are over
+ * LeaseTable_setConfirmed() - accept the unconfirmed records, after nobody
+ * has renewed a lease for long enough
+ * @offset: all leases before this offset have ended
  *
- * The last record of each unknown scope counts as its lease.
+ * The last record of each unknown scope becomes its lease.
  */
-void LeaseTable_setSure(LeaseTable_t *this, guint64 offset);
+void LeaseTable_setConfirmed(LeaseTable_t *this, guint64 offset);
 
-/** LeaseTable_over() - leases up to this number are over, as is known since
- * the last call of LeaseTable_setSure(); 0 for none */
-guint64 LeaseTable_over(const LeaseTable_t *this);
+/** LeaseTable_maxEndedNumber() - leases up to this number have ended, as known
+ * since the last call of LeaseTable_setConfirmed(); 0 for none */
+guint64 LeaseTable_maxEndedNumber(const LeaseTable_t *this);
 
-/** LeaseTable_isUnsure() - whether a scope's lease may be unknown */
-gboolean LeaseTable_isUnsure(const LeaseTable_t *this, const char *scope);
+/** LeaseTable_isUnconfirmed() - whether a scope may have a lease that is not
+ * known here */
+gboolean LeaseTable_isUnconfirmed(const LeaseTable_t *this, const char *scope);
 
 /** LeaseTable_find() - the current lease of a scope, or NULL */
 const LeaseEntry_t *LeaseTable_find(const LeaseTable_t *this,
--- a/src/OrderForm.h
+++ b/src/OrderForm.h
@@ -3,21 +3,21 @@
 /**
  * DOC: OrderForm
  *
- * How orders to engines look on a wire: what is asked for an engine's state,
- * how an order to load weights is written, and what its answer means. A wire
- * form is one table of functions.
+ * Wire format of orders. An order is a command to an engine to load a version
+ * of weights. A format is one table of functions, which reads the state of an
+ * engine, writes orders, and reads the answers to them.
  */
 #include <glib.h>
 
 #include "HttpCall.h"
 
 /**
- * struct EngineState_t - what an engine says of itself
- * @incarnation: 0 where the form has none
- * @weights: version that it has
- * @loading: it is changing its weights
- * @sequence: orders that it has taken, 0 where the form has none
- * @queued: requests that it has not begun
+ * struct EngineState_t - state that an engine reports
+ * @incarnation: of the engine; 0 if the format has none
+ * @weights: version in use
+ * @loading: whether the engine is changing its weights
+ * @sequence: number of orders accepted so far; 0 if the format has none
+ * @queued: number of requests that the engine has not started
  */
 typedef struct {
     guint64 incarnation;
@@ -29,12 +29,13 @@
 
 /**
  * struct EngineOrderSpec_t - an order to load weights
- * @instance: engine that it is meant for
- * @model: whose weights
- * @weights: version that is wanted
- * @holder: name of the router that gives it
- * @number: fencing number of its lease
- * @sequence: orders that the engine must have taken before, by what was read
+ * @instance: name of the engine
+ * @model: model to load weights of
+ * @weights: wanted version
+ * @holder: name of the router that sends the order
+ * @number: fencing number of that router's lease
+ * @sequence: number of orders that the engine must have accepted before, as
+ *     last read from its state
  */
 typedef struct {
     const char *instance;
@@ -46,15 +47,16 @@
 } EngineOrderSpec_t;
 
 /**
- * enum OrderOutcome_t - what an engine answered to an order
- * @ORDER_TAKEN: it is under way
- * @ORDER_IN_FORCE: there was nothing to do
- * @ORDER_BUSY: another order is under way, or one came in between
- * @ORDER_STALE: an order with a higher number came before
+ * enum OrderOutcome_t - answer of an engine to an order
+ * @ORDER_ACCEPTED: the engine carries out the order
+ * @ORDER_IN_FORCE: the engine has the wanted version already
+ * @ORDER_BUSY: another order is under way, or was accepted since the state
+ *     was read
+ * @ORDER_STALE: the engine has seen a higher fencing number
  * @ORDER_REFUSED: anything else
  */
 typedef enum {
-    ORDER_TAKEN,
+    ORDER_ACCEPTED,
     ORDER_IN_FORCE,
     ORDER_BUSY,
     ORDER_STALE,
@@ -63,17 +65,17 @@
 } OrderOutcome_t;
 
 /**
- * struct OrderForm_t - one wire form
- * @state_path: where the state is asked for
- * @order_path: where orders go
- * @instance_header: names the engine that a call is meant for, or NULL
- * @listed: engines' weights are known from a list, so that the state of one
- *     is asked for only around an order
- * @counts_orders: engines tell how many orders they have taken, and their
- *     state lags: one with a lower count may be of before an order
- * @read_state: FALSE where the answer holds no state
- * @write_order: body of an order
- * @read_outcome: from an answer to an order
+ * struct OrderForm_t - a wire format of orders
+ * @state_path: path of the engine's state
+ * @order_path: path that orders are posted to
+ * @instance_header: header that names the addressed engine, or NULL
+ * @listed: the weights of all engines are known from a list, so the state of
+ *     an engine is read only around an order
+ * @counts_orders: engines report how many orders they have accepted; as their
+ *     state lags, one with a lower count may predate an order
+ * @read_state: returns FALSE if the answer holds no state
+ * @write_order: returns the body of an order
+ * @read_outcome: reads the answer to an order
  */
 typedef struct {
     const char *state_path;
@@ -86,7 +88,7 @@
     OrderOutcome_t (*read_outcome)(const HttpAnswer_t *answer);
 } OrderForm_t;
 
-/** OrderHttp_form - the form that the project's own engines speak */
+/** OrderHttp_form - format of the engines that are part of this project */
 extern const OrderForm_t OrderHttp_form;
 
 #endif
--- a/src/OrderHttp.c
+++ b/src/OrderHttp.c
@@ -1,7 +1,7 @@
 /**
  * DOC: OrderHttp
  *
- * The form of orders that the project's own engines speak; see OrderForm.h.
+ * Wire format of orders for the engines of this project; see OrderForm.h.
  */
 #include <string.h>
 
@@ -16,14 +16,14 @@
     json_t *body = Json_parse(answer->body, answer->length, NULL);
     const char *weights = Json_text(body, "weights");
     const char *loading = Json_text(body, "loading");
-    gboolean good = weights != NULL;
-    if (good) {
+    gboolean is_valid = weights != NULL;
+    if (is_valid) {
         out->incarnation = (guint64)Json_integer(body, "incarnation", 0);
         out->loading = loading && *loading != '\0';
         g_string_assign(out->weights, weights);
     }
     json_decref(body);
-    return good;
+    return is_valid;
 }
 
 static GBytes *
@@ -43,7 +43,7 @@
 read_outcome(const HttpAnswer_t *answer)
 {
     if (answer->status == HTTP_OK) {
-        return ORDER_TAKEN;
+        return ORDER_ACCEPTED;
     }
     return answer->status == STATUS_STALE ? ORDER_STALE : ORDER_REFUSED;
 }
--- a/src/Orders.c
+++ b/src/Orders.c
@@ -3,66 +3,69 @@
 #include <string.h>
 
 #include "Clock.h"
-#include "NamedWeights.h"
-#include "OrderPlaces.h"
-#include "OrderTurn.h"
+#include "LeaseRank.h"
+#include "ModelVersions.h"
+#include "WeightLoadSlots.h"
 
 #define TICK_MS 50
-/* How often a router without the lease looks over all engines: soon enough to
- * take a free one, and a small cost where there are thousands. */
-#define LOOK_MS 250
+/* Tick of a router that does not hold the lease: short enough to take a free
+ * lease soon, long enough to be cheap with thousands of engines. */
+#define TICK_WITHOUT_LEASE_MS 250
+
 struct Orders {
     OrdersSpec_t spec;
-    OrderGiver_t giver;
+    OrderSender_t sender;
     GString *scope;
-    GHashTable *engines; /* upstream's name -> OrderedEngine_t */
+    GHashTable *engines; /* upstream's name -> ManagedEngine_t */
     struct event *tick;
     gboolean stopped;
-    guint news;          /* engines that lack weights or pause, as last seen */
-    gint64 progress_ms;  /* when that last changed */
-    gboolean stepped_in; /* for candidates that do nothing */
+    guint pending_work; /* fingerprint of lagging and paused engines */
+    gint64 progress_ms; /* when @pending_work last changed */
+    gboolean took_over; /* from candidates that make no progress */
 };
 
-/* An engine of which some weights are wanted, whether it has them or not. */
+/* An engine for which some weights are wanted, whether it has them or not. */
 typedef struct {
-    OrderedEngine_t *engine;
+    ManagedEngine_t *engine;
     WantedWeights_t wanted;
-    guint64 version; /* that it has, as a number; 0 where it is none */
-} Ordered_t;
+    guint64 version; /* of its current weights; 0 if that is not a number */
+} EngineTarget_t;
 
 static void
 free_engine(gpointer data)
 {
-    OrderedEngine_destroy(data);
+    ManagedEngine_destroy(data);
 }
 
-static OrderedEngine_t *
-engine_of(Orders_t *this, Upstream_t *upstream)
+static ManagedEngine_t *
+find_or_create_engine(Orders_t *this, Upstream_t *upstream)
 {
-    OrderedEngine_t *engine =
+    ManagedEngine_t *engine =
         g_hash_table_lookup(this->engines, upstream->name->str);
-    if (engine && OrderedEngine_upstream(engine) == upstream) {
+    if (engine && ManagedEngine_upstream(engine) == upstream) {
         return engine;
     }
-    if (engine && OrderedEngine_isOpen(engine)) {
-        return NULL; /* declared anew; its call has to end first */
+    if (engine && ManagedEngine_hasCall(engine)) {
+        /* Declared again; the call to the old one must end first. */
+        return NULL;
     }
-    engine = OrderedEngine_create(&this->giver, upstream);
+    engine = ManagedEngine_create(&this->sender, upstream);
     g_hash_table_replace(this->engines, g_strdup(upstream->name->str), engine);
     return engine;
 }
 
 static gboolean
-is_gone(gpointer name, gpointer engine, gpointer data)
+is_removed(gpointer name, gpointer engine, gpointer data)
 {
     (void)name;
     (void)data;
-    return OrderedEngine_upstream(engine)->removed &&
-           !OrderedEngine_isOpen(engine);
+    return ManagedEngine_upstream(engine)->removed &&
+           !ManagedEngine_hasCall(engine);
 }
 
 static gboolean
-is_mine(const Orders_t *this, const Upstream_t *upstream, WantedWeights_t *out)
+find_wanted(const Orders_t *this, const Upstream_t *upstream,
+            WantedWeights_t *out)
 {
     return !upstream->leaving &&
            strcmp(upstream->region->str,
@@ -78,7 +81,7 @@
     gpointer engine = NULL;
     g_hash_table_iter_init(&iter, this->engines);
     while (g_hash_table_iter_next(&iter, NULL, &engine)) {
-        count += OrderedEngine_isLoading(engine) ? 1 : 0;
+        count += ManagedEngine_isLoading(engine) ? 1 : 0;
     }
     return count;
 }
@@ -86,25 +89,26 @@
 static gint
 compare_versions(gconstpointer a, gconstpointer b)
 {
-    const Ordered_t *left = a;
-    const Ordered_t *right = b;
+    const EngineTarget_t *left = a;
+    const EngineTarget_t *right = b;
     return (left->version > right->version) - (left->version < right->version);
 }
 
-/* Those with the oldest weights come first: when versions are named faster
- * than all engines can load them, none falls behind by more than one. */
+/* Lists the engines with wanted weights, those with the oldest weights first:
+ * if versions are declared faster than all engines can load them, no engine
+ * falls behind by more than one version. */
 static GArray *
-find_engines(Orders_t *this)
+list_targets(Orders_t *this)
 {
     const GPtrArray *all = UpstreamSet_all(this->spec.upstreams);
-    GArray *found = g_array_new(FALSE, FALSE, sizeof(Ordered_t));
+    GArray *found = g_array_new(FALSE, FALSE, sizeof(EngineTarget_t));
     for (guint i = 0; i < all->len; i++) {
         Upstream_t *upstream = g_ptr_array_index(all, i);
-        Ordered_t ordered = {.version = Upstream_weightsVersion(upstream)};
-        if (is_mine(this, upstream, &ordered.wanted)) {
-            ordered.engine = engine_of(this, upstream);
-            if (ordered.engine) {
-                g_array_append_val(found, ordered);
+        EngineTarget_t target = {.version = Upstream_weightsVersion(upstream)};
+        if (find_wanted(this, upstream, &target.wanted)) {
+            target.engine = find_or_create_engine(this, upstream);
+            if (target.engine) {
+                g_array_append_val(found, target);
             }
         }
     }
@@ -112,70 +116,75 @@
     return found;
 }
 
-/* Routers place nothing there any more. */
+/* Whether the engine's weights are too old for routers to place requests. */
 static gboolean
-is_unused(const Orders_t *this, const Ordered_t *ordered)
+is_outdated(const Orders_t *this, const EngineTarget_t *target)
 {
     gint64 limit_ms = this->spec.settings->relay.weights_limit_ms;
-    return ordered->wanted.lag_ms >= limit_ms - WEIGHTS_PLACE_MARGIN_MS;
+    return target->wanted.lag_ms >= limit_ms - WEIGHTS_PLACEMENT_MARGIN_MS;
 }
 
 static gboolean
-serves(const Orders_t *this, const Ordered_t *ordered)
+serves(const Orders_t *this, const EngineTarget_t *target)
 {
-    const Upstream_t *upstream = OrderedEngine_upstream(ordered->engine);
-    return !upstream->suspect && !is_unused(this, ordered) &&
-           !OrderedEngine_isLoading(ordered->engine);
+    const Upstream_t *upstream = ManagedEngine_upstream(target->engine);
+    return !upstream->suspect && !is_outdated(this, target) &&
+           !ManagedEngine_isLoading(target->engine);
 }
 
-static OrderPlaces_t
-count_places(const Orders_t *this, const GArray *engines)
+static WeightLoadSlots_t
+compute_slots(const Orders_t *this, const GArray *engines)
 {
     const PlatformSection_t *platform = &this->spec.settings->platform;
-    OrderPlacesFacts_t facts = {
+    WeightLoadSlotsInput_t input = {
         .loading = count_loading(this),
-        .least = (guint)platform->weight_loads,
-        .percent = (guint)platform->load_percent,
+        .min_loading = (guint)platform->weight_loads,
+        .loading_percent = (guint)platform->load_percent,
     };
     for (guint i = 0; i < engines->len; i++) {
-        const Ordered_t *ordered = &g_array_index(engines, Ordered_t, i);
-        gboolean reached = !OrderedEngine_upstream(ordered->engine)->suspect;
-        facts.reached += reached ? 1 : 0;
-        facts.unused += reached && is_unused(this, ordered) ? 1 : 0;
-        facts.serving += serves(this, ordered) ? 1 : 0;
+        const EngineTarget_t *target =
+            &g_array_index(engines, EngineTarget_t, i);
+        gboolean reachable = !ManagedEngine_upstream(target->engine)->suspect;
+        input.reachable += reachable ? 1 : 0;
+        input.outdated += reachable && is_outdated(this, target) ? 1 : 0;
+        input.serving += serves(this, target) ? 1 : 0;
     }
-    return OrderPlaces_count(&facts);
+    return WeightLoadSlots_compute(&input);
 }
 
-/* As many as load at once are the next; the load of an engine waits for the
- * runs that it has, for 1.3 s at the median of ten streams each. */
+/* Announces the next loads, for as many engines as may load at once. An engine
+ * finishes its running streams before it loads, so routers should send it no
+ * long ones from now on. */
 static void
-warn_next(const GArray *engines, guint count)
+announce_next(const GArray *engines, guint count)
 {
     for (guint i = 0; i < engines->len && count > 0; i++) {
-        const Ordered_t *ordered = &g_array_index(engines, Ordered_t, i);
-        if (OrderedEngine_isNext(ordered->engine, &ordered->wanted)) {
-            OrderedEngine_warn(ordered->engine);
+        const EngineTarget_t *target =
+            &g_array_index(engines, EngineTarget_t, i);
+        if (ManagedEngine_needsSlot(target->engine, &target->wanted)) {
+            ManagedEngine_announceLoadSoon(target->engine);
             count--;
         }
     }
 }
 
 static void
-tend_all(Orders_t *this)
+advance_all(Orders_t *this)
 {
-    g_hash_table_foreach_remove(this->engines, is_gone, NULL);
-    GArray *engines = find_engines(this);
-    OrderPlaces_t places = count_places(this, engines);
+    g_hash_table_foreach_remove(this->engines, is_removed, NULL);
+    GArray *engines = list_targets(this);
+    WeightLoadSlots_t slots = compute_slots(this, engines);
     for (guint i = 0; i < engines->len; i++) {
-        const Ordered_t *ordered = &g_array_index(engines, Ordered_t, i);
-        gboolean served = serves(this, ordered);
-        if (OrderedEngine_tend(ordered->engine, &ordered->wanted,
-                               OrderPlaces_has(&places, served))) {
-            OrderPlaces_take(&places, served);
+        const EngineTarget_t *target =
+            &g_array_index(engines, EngineTarget_t, i);
+        gboolean is_serving = serves(this, target);
+        if (ManagedEngine_advance(
+                target->engine, &target->wanted,
+                WeightLoadSlots_isAvailable(&slots, is_serving))) {
+            WeightLoadSlots_acquire(&slots, is_serving);
         }
     }
-    warn_next(engines, places.most);
+    announce_next(engines, slots.max_loading);
     g_array_unref(engines);
 }
 
@@ -183,12 +192,13 @@
 is_lagging(const Orders_t *this, const Upstream_t *upstream)
 {
     WantedWeights_t wanted;
-    return is_mine(this, upstream, &wanted) &&
+    return find_wanted(this, upstream, &wanted) &&
            strcmp(upstream->weights->str, wanted.weights) != 0;
 }
 
-/* With a list the lease is wanted only while some engine lacks what is
- * wanted of it: each renewal is a call to the log. */
+/* Whether the lease is needed. With listed engines it is needed only while
+ * some engine lacks the wanted weights, as each renewal costs a call to the
+ * log. Without a list, the state of each engine has to be read regularly. */
 static gboolean
 has_work(const Orders_t *this)
 {
@@ -197,51 +207,53 @@
         const Upstream_t *upstream = g_ptr_array_index(all, i);
         WantedWeights_t wanted;
         if (this->spec.form->listed ? is_lagging(this, upstream)
-                                    : is_mine(this, upstream, &wanted)) {
+                                    : find_wanted(this, upstream, &wanted)) {
             return TRUE;
         }
     }
     return FALSE;
 }
 
-/* Whoever gives orders makes engines pause and change their weights, which
- * all routers hear of. */
+/* Records whether the roll-out makes progress: orders make engines pause and
+ * change their weights, and all routers learn of both. */
 static void
 note_progress(Orders_t *this)
 {
     const GPtrArray *all = UpstreamSet_all(this->spec.upstreams);
     gint64 now_ms = Clock_nowMs();
-    guint news = 0;
+    guint pending_work = 0;
     for (guint i = 0; i < all->len; i++) {
         const Upstream_t *upstream = g_ptr_array_index(all, i);
-        news += is_lagging(this, upstream) ? 1 : 0;
-        news += upstream->paused_until_ms > now_ms ? all->len + 1 : 0;
+        pending_work += is_lagging(this, upstream) ? 1 : 0;
+        pending_work += upstream->paused_until_ms > now_ms ? all->len + 1 : 0;
     }
-    if (news != this->news || news == 0) {
-        this->news = news;
+    if (pending_work != this->pending_work || pending_work == 0) {
+        this->pending_work = pending_work;
         this->progress_ms = now_ms;
     }
 }
 
-/* Who has stepped in stays until the work is done. */
+/* A router that has taken over stays a candidate until the work is done. */
 static gboolean
 is_candidate(Orders_t *this, guint rank)
 {
-    gint64 stalled_ms = this->news > 0 ? Clock_nowMs() - this->progress_ms : 0;
-    gboolean steps_in = rank >= ORDER_TURN_CANDIDATES &&
-                        OrderTurn_isCandidate(rank, stalled_ms);
-    this->stepped_in = this->news > 0 && (this->stepped_in || steps_in);
+    gint64 stalled_ms =
+        this->pending_work > 0 ? Clock_nowMs() - this->progress_ms : 0;
+    gboolean takes_over = rank >= LEASE_RANK_CANDIDATES &&
+                          LeaseRank_isCandidate(rank, stalled_ms);
+    this->took_over =
+        this->pending_work > 0 && (this->took_over || takes_over);
     return !this->stopped &&
-           (OrderTurn_isCandidate(rank, 0) || this->stepped_in);
+           (LeaseRank_isCandidate(rank, 0) || this->took_over);
 }
 
-/* A number that an engine found stale is that of a lease that was lost; the
- * next one is higher. */
+/* Allows orders again once the lease with the stale number is lost: the next
+ * lease has a higher number. */
 static void
-forgive_stale(Orders_t *this)
+clear_stale(Orders_t *this)
 {
-    if (Lease_term(this->giver.lease) == 0) {
-        this->giver.stale_until_ms = 0;
+    if (Lease_term(this->sender.lease) == 0) {
+        this->sender.stale_until_ms = 0;
     }
 }
 
@@ -251,24 +263,25 @@
     (void)fd;
     (void)what;
     Orders_t *this = data;
-    Lease_t *lease = this->giver.lease;
+    Lease_t *lease = this->sender.lease;
     guint rank =
         Membership_rank(this->spec.membership, this->scope->str, NULL);
     note_progress(this);
-    /* A rank is none before the others are known. */
-    gboolean ranked = Membership_isSettled(this->spec.membership);
-    gboolean candidate = ranked && is_candidate(this, rank);
+    /* The rank is meaningless until the other members are known. */
+    gboolean is_ranked = Membership_isSettled(this->spec.membership);
+    gboolean candidate = is_ranked && is_candidate(this, rank);
     gboolean wanted =
-        candidate && has_work(this) && this->giver.stale_until_ms == 0;
-    gboolean followed = !this->stopped && this->spec.form->listed && ranked &&
-                        rank < ORDER_TURN_FOLLOWERS;
-    Lease_follow(lease, followed);
-    Lease_want(lease, wanted, OrderTurn_patienceMs(rank));
+        candidate && has_work(this) && this->sender.stale_until_ms == 0;
+    gboolean followed = !this->stopped && this->spec.form->listed &&
+                        is_ranked && rank < LEASE_RANK_FOLLOWERS;
+    Lease_setFollowed(lease, followed);
+    Lease_setWanted(lease, wanted, LeaseRank_delayMs(rank));
     if (wanted && Lease_remainingMs(lease) > 0) {
-        tend_all(this);
+        advance_all(this);
     }
-    forgive_stale(this);
-    Clock_arm(this->tick, Lease_term(lease) > 0 ? TICK_MS : LOOK_MS);
+    clear_stale(this);
+    Clock_arm(this->tick,
+              Lease_term(lease) > 0 ? TICK_MS : TICK_WITHOUT_LEASE_MS);
 }
 
 static Lease_t *
@@ -296,7 +309,7 @@
     this->spec = *spec;
     this->scope = g_string_new("orders-");
     g_string_append(this->scope, settings->router.region->str);
-    this->giver = (OrderGiver_t){
+    this->sender = (OrderSender_t){
         .base = base,
         .form = spec->form,
         .lease = create_lease(this, base),
@@ -319,7 +332,7 @@
 {
     this->stopped = TRUE;
     if (this->spec.settings->platform.fencing) {
-        Lease_release(this->giver.lease);
+        Lease_release(this->sender.lease);
     }
 }
 
@@ -328,7 +341,7 @@
 {
     event_free(this->tick);
     g_hash_table_destroy(this->engines);
-    Lease_destroy(this->giver.lease);
+    Lease_destroy(this->sender.lease);
     g_string_free(this->scope, TRUE);
     g_free(this);
 }
--- a/src/Orders.h
+++ b/src/Orders.h
@@ -3,44 +3,44 @@
 /**
  * DOC: Orders
  *
- * Brings the engines of this router's region to the wanted weights. Only
- * the holder of the region's lease gives orders, each with the lease's
- * number. A few routers may take the lease; any other steps in once nothing
- * has come of wanted weights for a while. An order names the state that is
- * wanted, not a step towards it, and is sent only while the lease outlasts its
- * time-out, so that even an engine that ignores the number never gets an order
- * of a holder that has lost it.
+ * Brings the engines of this router's region to the wanted weights. Only the
+ * holder of the region's lease sends orders, each with the lease's fencing
+ * number. A fixed number of routers may take the lease; any other router takes
+ * over if the roll-out makes no progress for a while. An order names the
+ * wanted state rather than a step towards it. It is sent only if the lease
+ * lasts longer than the order's timeout, so that even an engine that ignores
+ * the number never gets an order from a holder that has lost the lease.
  */
 #include <event2/event.h>
 
 #include "Counters.h"
 #include "LogClient.h"
+#include "ManagedEngine.h"
 #include "Membership.h"
-#include "OrderedEngine.h"
 #include "Settings.h"
 #include "StoreEpoch.h"
 
 /**
- * WantedWeightsOf_t - the weights that an engine should have
+ * WantedWeightsOf_t - looks up the weights that an upstream should have
  *
- * Return: FALSE where it is no engine or nothing is wanted of it
+ * Return: FALSE if the upstream is no engine or no weights are wanted for it
  */
 typedef gboolean (*WantedWeightsOf_t)(void *data, const Upstream_t *upstream,
                                       WantedWeights_t *out);
 
 /**
- * struct OrdersSpec_t - what it needs; all must outlive it
+ * struct OrdersSpec_t - dependencies; all must outlive the object
  * @settings: of this router
  * @incarnation: of this process
- * @log: that holds the lease
- * @epoch: of the store that keeps it
- * @form: how engines are spoken to
- * @wanted: asked again at each step
- * @wanted_data: for @wanted
- * @upstreams: those that are engines of the region get orders
- * @membership: tells who may take the lease; told of new weights
- * @hints: tells all routers of pauses and loads; NULL for gossip alone
- * @notices: take in what answers say of their upstreams; or NULL
+ * @log: client of the log that holds the lease
+ * @epoch: epoch of the store that holds the log
+ * @form: wire format of orders
+ * @wanted: looks up wanted weights; called again at each step
+ * @wanted_data: passed to @wanted
+ * @upstreams: all upstreams; the engines of the region get orders
+ * @membership: ranks the candidates for the lease; gossips new weights
+ * @hints: broadcasts pauses and loads; NULL for gossip alone
+ * @notices: handle notices in the answers of upstreams; or NULL
  * @counters: for orders
  */
 typedef struct {
@@ -61,14 +61,14 @@
 /** struct Orders_t - opaque */
 typedef struct Orders Orders_t;
 
-/** Orders_create() - start to follow the lease */
+/** Orders_create() - start sending orders whenever the lease is held */
 Orders_t *Orders_create(struct event_base *base, const OrdersSpec_t *spec);
 
 /**
- * Orders_stop() - give no more orders
+ * Orders_stop() - send no more orders
  *
- * Where all engines check fencing numbers the lease is released, so that
- * another router goes on at once; else it has to lapse.
+ * If all engines check fencing numbers, the lease is released, so that another
+ * router continues at once; otherwise the lease has to expire.
  */
 void Orders_stop(Orders_t *this);
 
--- a/src/RelayParts.c
+++ b/src/RelayParts.c
@@ -59,9 +59,10 @@
 {
     const RelayParts_t *this = data;
     out->model = find_model(this, upstream);
-    out->weights = out->model
-                       ? NamedWeights_find(this->context->weights, out->model)
-                       : NULL;
+    out->weights =
+        out->model
+            ? ModelVersions_findNewest(this->context->weights, out->model)
+            : NULL;
     /* An engine's version was named at some time, even if a store that was
      * restored to an older state does not show it. Versions only grow, so no
      * engine is ordered to load an older one. */
@@ -69,8 +70,8 @@
     if (!out->weights || version > g_ascii_strtoull(out->weights, NULL, 10)) {
         return FALSE;
     }
-    out->lag_ms = NamedWeights_lagMs(this->context->weights, out->model,
-                                     version, Clock_nowMs());
+    out->lag_ms = ModelVersions_lagMs(this->context->weights, out->model,
+                                      version, Clock_nowMs());
     return TRUE;
 }
 
@@ -257,12 +258,12 @@
     RelayParts_t *this = g_new0(RelayParts_t, 1);
     this->context = context;
     context->routes = RouteTable_create();
-    context->weights = NamedWeights_create();
+    context->weights = ModelVersions_create();
     this->hints =
         HintFlood_create(context->base, context->membership, apply_hint, this);
     context->cache_store = CacheStore_create(this->hints);
     context->estimate_error = EstimateError_create();
-    context->pauses = PauseGuard_create();
+    context->pauses = EngineSplit_create();
     context->run_times = RunTimes_create();
     context->speeds =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -320,7 +321,7 @@
     UpstreamListing_destroy(this->context->listing);
     HallRegions_destroy(this->regions);
     RouteSync_destroy(this->sync);
-    NamedWeights_destroy(this->context->weights);
+    ModelVersions_destroy(this->context->weights);
     StreamMover_destroy(this->context->mover);
     if (this->context->dispatch) {
         Dispatch_destroy(this->context->dispatch);
@@ -328,7 +329,7 @@
     CacheStore_destroy(this->context->cache_store);
     g_hash_table_destroy(this->context->speeds);
     EstimateError_destroy(this->context->estimate_error);
-    PauseGuard_destroy(this->context->pauses);
+    EngineSplit_destroy(this->context->pauses);
     RunTimes_destroy(this->context->run_times);
     HintFlood_destroy(this->hints);
     RouteTable_destroy(this->context->routes);
--- a/src/RelayPlacer.c
+++ b/src/RelayPlacer.c
@@ -76,7 +76,7 @@
         return;
     }
     update_store_halls(context, config);
-    placement->short_share = PauseGuard_share(context->pauses);
+    placement->short_share = EngineSplit_shortPromptFraction(context->pauses);
     placement->cache_tokens = service->cache_tokens;
     placement->move_us_per_token =
         transfer_us_per_token(service->token_bytes, service->link_mbit);
@@ -98,13 +98,15 @@
     if (!model) {
         return;
     }
-    placement->newest_weights = NamedWeights_find(context->weights, model);
+    placement->newest_weights =
+        ModelVersions_findNewest(context->weights, model);
     placement->newest_age_ms =
-        NamedWeights_ageMs(context->weights, model, placement->now_ms);
-    placement->min_weights_version = NamedWeights_due(
-        context->weights, model,
-        context->settings->relay.weights_limit_ms - WEIGHTS_PLACE_MARGIN_MS,
-        placement->now_ms);
+        ModelVersions_ageMs(context->weights, model, placement->now_ms);
+    placement->min_weights_version =
+        ModelVersions_minVersion(context->weights, model,
+                                 context->settings->relay.weights_limit_ms -
+                                     WEIGHTS_PLACEMENT_MARGIN_MS,
+                                 placement->now_ms);
 }
 
 gboolean
@@ -114,7 +116,7 @@
     if (!model) {
         return FALSE;
     }
-    guint64 version_min = NamedWeights_due(
+    guint64 version_min = ModelVersions_minVersion(
         context->weights, model,
         context->settings->relay.weights_limit_ms - QUEUE_REMOVAL_MARGIN_MS,
         Clock_nowMs());
@@ -129,8 +131,8 @@
         return G_MAXINT64;
     }
     gint64 lag_ms =
-        NamedWeights_lagMs(context->weights, model,
-                           Upstream_weightsVersion(upstream), Clock_nowMs());
+        ModelVersions_lagMs(context->weights, model,
+                            Upstream_weightsVersion(upstream), Clock_nowMs());
     gint64 limit_ms = context->settings->relay.weights_limit_ms;
     return MAX(limit_ms - QUEUE_REMOVAL_MARGIN_MS - lag_ms, 0);
 }
@@ -269,9 +271,9 @@
         Salt_make(&salt_input, context->settings->keys.salt, out->salt);
         select_caches(context, out);
         Policy_commit(context->policy, &out->placement, &out->choice);
-        PauseGuard_noteWork(context->pauses,
-                            PrefixSupply_isShort(&out->placement),
-                            out->choice.own_us);
+        EngineSplit_noteWork(context->pauses,
+                             PrefixSupply_isShort(&out->placement),
+                             out->choice.own_us);
     }
 }
 
--- a/src/RouteSync.h
+++ b/src/RouteSync.h
@@ -15,7 +15,7 @@
  * are gone nor peers that are silent keep it from what is in force.
  */
 #include "Membership.h"
-#include "NamedWeights.h"
+#include "ModelVersions.h"
 #include "PlatformForm.h"
 #include "RouteTable.h"
 #include "StoreEpoch.h"
@@ -40,7 +40,7 @@
     RecordSource_t *source;
     const PlatformForm_t *form;
     RouteTable_t *routes;
-    NamedWeights_t *weights;
+    ModelVersions_t *weights;
     Membership_t *membership;
     StoreEpoch_t *epoch;
     gboolean is_alone;
--- a/src/RouteVersions.c
+++ b/src/RouteVersions.c
@@ -188,7 +188,7 @@
         Log_error("weights_unreadable", error);
     }
     else if (keep_newest(this, record, version) &&
-             NamedWeights_take(this->spec.weights, model->str, version,
+             ModelVersions_add(this->spec.weights, model->str, version,
                                named_ms(this))) {
         Log_begin(LOG_LEVEL_INFO, "weights_named");
         Log_text("model", model->str);
--- a/src/RouteVersions.h
+++ b/src/RouteVersions.h
@@ -17,7 +17,7 @@
 #include <event2/event.h>
 
 #include "KeyedRecord.h"
-#include "NamedWeights.h"
+#include "ModelVersions.h"
 #include "PlatformForm.h"
 #include "RouteTable.h"
 
@@ -32,7 +32,7 @@
 typedef struct {
     const PlatformForm_t *form;
     RouteTable_t *routes;
-    NamedWeights_t *weights;
+    ModelVersions_t *weights;
     gint64 unknown_age_ms;
     gboolean is_alone;
 } RouteVersionsSpec_t;
--- a/src/StopPlans.c
+++ b/src/StopPlans.c
@@ -13,7 +13,7 @@
 };
 
 static gint64
-time_of(const StopPlan_t *plan)
+parse_deadline(const StopPlan_t *plan)
 {
     GDateTime *time = g_date_time_new_from_iso8601(plan->by->str, NULL);
     gint64 time_ms = time ? g_date_time_to_unix(time) * 1000 : 0;
@@ -23,17 +23,18 @@
     return time_ms;
 }
 
-/* After its time a plan is over: who starts again then is not leaving. */
+/* A plan ends at its time: an upstream that restarts afterwards is not
+ * leaving. */
 static gboolean
 is_due(const StopPlan_t *plan)
 {
     gint64 now_ms = Clock_wallMs();
-    gint64 by_ms = time_of(plan);
+    gint64 by_ms = parse_deadline(plan);
     return now_ms >= by_ms - plan->lead_ms && now_ms < by_ms;
 }
 
 static void
-carry_out(StopPlans_t *this, const Object_t *object)
+apply_plan(StopPlans_t *this, const Object_t *object)
 {
     const StopPlan_t *plan = object->spec;
     Upstream_t *upstream =
@@ -60,7 +61,7 @@
     g_autoptr(GPtrArray) plans =
         ConfigStore_list(this->config, OBJECT_STOP_PLAN);
     for (guint i = 0; i < plans->len; i++) {
-        carry_out(this, g_ptr_array_index(plans, i));
+        apply_plan(this, g_ptr_array_index(plans, i));
     }
     Clock_arm(this->tick, TICK_MS);
 }
--- a/src/StopPlans.h
+++ b/src/StopPlans.h
@@ -3,9 +3,9 @@
 /**
  * DOC: StopPlans
  *
- * Carries out declared stop plans: from `lead` before its time on, an
- * upstream is leaving, on every router that has the plan in force. Its open
- * requests go on to their end.
+ * Applies declared stop plans: during the `lead` before the planned time,
+ * every router that has the plan in force marks the upstream as leaving.
+ * Requests that are open at the upstream continue to their end.
  */
 #include <event2/event.h>
 
@@ -16,7 +16,8 @@
 /** struct StopPlans_t - opaque */
 typedef struct StopPlans StopPlans_t;
 
-/** StopPlans_create() - start to watch; all must outlive it */
+/** StopPlans_create() - start applying plans; the arguments must outlive the
+ * object */
 StopPlans_t *StopPlans_create(struct event_base *base,
                               const ConfigStore_t *config,
                               UpstreamSet_t *upstreams,
--- a/src/StreamExchange.c
+++ b/src/StreamExchange.c
@@ -364,7 +364,7 @@
 start_new_stream(StreamExchange_t *this, const PlacerResult_t *placing)
 {
     const Choice_t *choice = &placing->choice;
-    EngineOrder_t order = {
+    EngineStreamRequest_t order = {
         .prompt = this->prompt,
         .salt = placing->salt,
         .priority = this->super.priority,
--- a/tests/fuzz/streams.c
+++ b/tests/fuzz/streams.c
@@ -166,7 +166,8 @@
 
 /* The event's text, or NULL where it is refused. */
 static char *
-read_text(const EngineHead_t *head, EngineForm_t *form, const char *event)
+read_text(const EngineHead_t *head, EngineEventFormat_t *form,
+          const char *event)
 {
     EngineToken_t token;
     json_t *keep = NULL;
@@ -187,11 +188,13 @@
 Fuzz_engineEvents(const uint8_t *data, size_t size)
 {
     EngineHead_t head = {.stream = "s1"};
-    EngineForm_t learned = {g_string_new(NULL), g_string_new(NULL), FALSE};
+    EngineEventFormat_t learned = {g_string_new(NULL), g_string_new(NULL),
+                                   FALSE};
     g_autofree char *text = g_strndup((const char *)data, size);
     g_auto(GStrv) events = g_strsplit(text, "\n", -1);
     for (guint i = 0; events[i]; i++) {
-        EngineForm_t none = {g_string_new(NULL), g_string_new(NULL), FALSE};
+        EngineEventFormat_t none = {g_string_new(NULL), g_string_new(NULL),
+                                    FALSE};
         g_autofree char *by_form = read_text(&head, &learned, events[i]);
         g_autofree char *in_full = read_text(&head, &none, events[i]);
         g_assert_cmpstr(by_form, ==, in_full);
--- a/tests/test_EngineHttp.c
+++ b/tests/test_EngineHttp.c
@@ -8,42 +8,43 @@
 #include "EngineHttp.h"
 
 static EngineHead_t head;
-static EngineForm_t form;
+static EngineEventFormat_t format;
 
 static void
 begin(void)
 {
     g_strlcpy(head.stream, "s1", sizeof(head.stream));
-    form.prefix = g_string_new(NULL);
-    form.suffix = g_string_new(NULL);
-    form.known = FALSE;
+    format.prefix = g_string_new(NULL);
+    format.suffix = g_string_new(NULL);
+    format.known = FALSE;
 }
 
 static void
 end(void)
 {
-    g_string_free(form.prefix, TRUE);
-    g_string_free(form.suffix, TRUE);
+    g_string_free(format.prefix, TRUE);
+    g_string_free(format.suffix, TRUE);
 }
 
-/* The event's text, "!" where it is refused. */
+/* Returns the event's text, "end" for the end mark, "!" if it is refused. */
 static char *
-read_with(EngineForm_t *by, const char *id, const char *data)
+read_event_text(EngineEventFormat_t *by_format, const char *id,
+                const char *data)
 {
     EngineToken_t token;
-    json_t *keep = NULL;
-    gboolean good = EngineHttp_wire.read_event(&head, by, id, data,
-                                               strlen(data), &token, &keep);
-    char *text = good && token.text ? g_strndup(token.text, token.length)
-                                    : g_strdup(good ? "end" : "!");
-    json_decref(keep);
+    json_t *json = NULL;
+    gboolean is_valid = EngineHttp_wire.read_event(
+        &head, by_format, id, data, strlen(data), &token, &json);
+    char *text = is_valid && token.text ? g_strndup(token.text, token.length)
+                                        : g_strdup(is_valid ? "end" : "!");
+    json_decref(json);
     return text;
 }
 
 static void
 assert_reads(const char *data, const char *expected)
 {
-    g_autofree char *text = read_with(&form, "0", data);
+    g_autofree char *text = read_event_text(&format, "0", data);
     ck_assert_str_eq(text, expected);
 }
 
@@ -51,11 +52,11 @@
     "{\"id\":\"s1\",\"choices\":[{\"text\":\"" text                           \
     "\",\"finish_reason\":null}]}"
 
-START_TEST(text_is_read_and_the_form_learned)
+START_TEST(text_is_read_and_the_event_format_learned)
 {
     begin();
     assert_reads(EVENT(" one"), " one");
-    ck_assert(form.known);
+    ck_assert(format.known);
     assert_reads(EVENT(" two"), " two");
     assert_reads(EVENT(""), "");
     assert_reads(EVENT("a\\nb\\u00e9"), "a\nb\xc3\xa9");
@@ -65,7 +66,7 @@
 }
 END_TEST
 
-START_TEST(events_of_others_are_refused_with_and_without_a_form)
+START_TEST(events_of_other_streams_are_refused_with_and_without_a_known_format)
 {
     begin();
     const char *other = "{\"id\":\"s2\",\"choices\":[{\"text\":\"x\","
@@ -77,32 +78,32 @@
     assert_reads("{\"id\":\"s1\",\"choices\":[]}", "!");
     assert_reads("nonsense", "!");
     assert_reads(EVENT("\xff"), "!");
-    g_autofree char *without = read_with(&form, NULL, EVENT("x"));
-    ck_assert_str_eq(without, "!");
-    g_autofree char *bad = read_with(&form, "x", EVENT("x"));
-    ck_assert_str_eq(bad, "!");
+    g_autofree char *without_id = read_event_text(&format, NULL, EVENT("x"));
+    ck_assert_str_eq(without_id, "!");
+    g_autofree char *with_bad_id = read_event_text(&format, "x", EVENT("x"));
+    ck_assert_str_eq(with_bad_id, "!");
     end();
 }
 END_TEST
 
-START_TEST(finish_is_read_in_full)
+START_TEST(event_with_a_finish_reason_is_parsed_as_json)
 {
     begin();
     assert_reads(EVENT("a"), "a");
     EngineToken_t token;
-    json_t *keep = NULL;
+    json_t *json = NULL;
     const char *last = "{\"id\":\"s1\",\"choices\":[{\"text\":\"z\","
                        "\"finish_reason\":\"stop\"}]}";
-    ck_assert(EngineHttp_wire.read_event(&head, &form, "3", last, strlen(last),
-                                         &token, &keep));
+    ck_assert(EngineHttp_wire.read_event(&head, &format, "3", last,
+                                         strlen(last), &token, &json));
     ck_assert_str_eq(token.finish, "stop");
     ck_assert_uint_eq(token.index, 3);
-    json_decref(keep);
+    json_decref(json);
     end();
 }
 END_TEST
 
-START_TEST(text_that_looks_like_the_event_is_no_trap)
+START_TEST(field_with_the_same_value_as_the_text_is_not_taken_for_the_text)
 {
     begin();
     assert_reads("{\"id\":\"s1\",\"x\":\"a\",\"choices\":[{\"text\":\"a\","
@@ -118,8 +119,8 @@
 }
 END_TEST
 
-/* With a form an event must be read as it is without one. */
-START_TEST(form_changes_nothing_for_mutated_events)
+/* A known format must not change how any event is read. */
+START_TEST(mutated_events_read_the_same_with_and_without_a_known_format)
 {
     GRand *random = g_rand_new_with_seed(11);
     begin();
@@ -130,12 +131,13 @@
             gint at = g_rand_int_range(random, 0, (gint)sizeof(data) - 1);
             data[at] = (char)g_rand_int_range(random, 1, 256);
         }
-        EngineForm_t none = {g_string_new(NULL), g_string_new(NULL), FALSE};
-        g_autofree char *with = read_with(&form, "0", data);
-        g_autofree char *without = read_with(&none, "0", data);
-        ck_assert_str_eq(with, without);
-        g_string_free(none.prefix, TRUE);
-        g_string_free(none.suffix, TRUE);
+        EngineEventFormat_t unknown = {g_string_new(NULL), g_string_new(NULL),
+                                       FALSE};
+        g_autofree char *with_format = read_event_text(&format, "0", data);
+        g_autofree char *without_format = read_event_text(&unknown, "0", data);
+        ck_assert_str_eq(with_format, without_format);
+        g_string_free(unknown.prefix, TRUE);
+        g_string_free(unknown.suffix, TRUE);
     }
     end();
     g_rand_free(random);
@@ -143,16 +145,16 @@
 END_TEST
 
 /*
- * Symptom: a router died by a null pointer. Sequence: an engine answered with
- * a stream's id that is not UTF-8; the router sealed the id for its caller, or
- * wrote it into a resume or a cancel. Cause: those are JSON, which can't hold
- * it; the text that was not made was used. Settled by: a head with such an id
- * or version of weights is refused, as its events could not name it either.
+ * Regression: a router crashed with a null pointer when an engine sent a
+ * stream id that is not UTF-8. The router put the id into JSON (the sealed id
+ * for the caller, a resume, a cancel), which failed and returned no text. A
+ * head with such an id or version of weights is refused, as events can't name
+ * it either.
  */
-START_TEST(names_that_json_cannot_hold_are_refused)
+START_TEST(stream_ids_and_weights_that_are_not_utf8_are_refused)
 {
     static const char *const names[] = {"s1", "\xff", "s\xc3", "\xc3\xa9"};
-    static const gboolean good[] = {TRUE, FALSE, FALSE, TRUE};
+    static const gboolean is_valid[] = {TRUE, FALSE, FALSE, TRUE};
     for (gsize i = 0; i < G_N_ELEMENTS(names); i++) {
         for (int in_weights = 0; in_weights < 2; in_weights++) {
             EngineHead_t read = {.attempt = g_string_new(NULL)};
@@ -164,7 +166,7 @@
             evhttp_add_header(&headers, "X-Weights-Version",
                               in_weights ? names[i] : "w1");
             ck_assert_int_eq(EngineHttp_wire.read_head(&headers, &read),
-                             good[i]);
+                             is_valid[i]);
             evhttp_clear_headers(&headers);
             g_string_free(read.attempt, TRUE);
         }
@@ -172,8 +174,10 @@
 }
 END_TEST
 
-TESTING_MAIN("EngineHttp", text_is_read_and_the_form_learned,
-             events_of_others_are_refused_with_and_without_a_form,
-             finish_is_read_in_full, text_that_looks_like_the_event_is_no_trap,
-             form_changes_nothing_for_mutated_events,
-             names_that_json_cannot_hold_are_refused)
+TESTING_MAIN(
+    "EngineHttp", text_is_read_and_the_event_format_learned,
+    events_of_other_streams_are_refused_with_and_without_a_known_format,
+    event_with_a_finish_reason_is_parsed_as_json,
+    field_with_the_same_value_as_the_text_is_not_taken_for_the_text,
+    mutated_events_read_the_same_with_and_without_a_known_format,
+    stream_ids_and_weights_that_are_not_utf8_are_refused)
--- a/tests/test_Lease.c
+++ b/tests/test_Lease.c
@@ -1,29 +1,30 @@
-/* One decides at a time, and no fencing number is used by two, over returns
- * of the log from an older copy. Two routers had given orders under number 25,
- * 11.8 s apart: the first one's record was gone, and its offset was given out
- * again. Nothing but the first one's silence had kept them apart, as a router
- * that finds no lease took one at once.
+/* At most one router holds the lease at a time, and no two routers use the
+ * same fencing number, even if the log is restored from an older copy.
+ * Regression: two routers sent orders under number 25, 11.8 s apart. The
+ * record of the first one was lost, and its offset was assigned again; a
+ * router that found no lease took one at once. Only because the first router
+ * was silent by then did the two not act at the same time.
  *
- * Many worlds run at once, each with a log, some routers and faults drawn from
- * a seed. */
+ * Many simulations run at once, each with a log, four routers, and faults that
+ * are drawn from a seed. */
 #include "testing.h"
 
 #include "Clock.h"
 #include "FakeLogs.h"
 #include "Lease.h"
 
-#define WORLDS 24
+#define SIMULATIONS 24
 #define ROUTERS 4
 #define LEASE_MS 400
 #define POLL_MS 60
-#define LOOK_MS 2
+#define CHECK_MS 2
 #define RUN_MS 9000
-/* Of lengths of the log that are remembered, one at each look. */
+/* Recorded lengths of the log, one per check. */
 #define LENGTHS 512
-/* A holder that loses nothing but seconds of the log goes on: who has no
- * trouble with the log is not without a holder for longer than it takes others
- * to be sure. */
-#define TAKEN_IN_MS 3000
+/* Time without faults at the end of a run, after which some router must hold
+ * the lease: a router with a working log is not without a holder for longer
+ * than other routers need to confirm the table. */
+#define RECOVERY_MS 3000
 
 typedef struct {
     Lease_t *lease;
@@ -39,24 +40,24 @@
     GRand *random;
     FakeLog_t *log;
     Router_t routers[ROUTERS];
-    GHashTable *users; /* number -> router that used it, plus one */
+    GHashTable *users; /* fencing number -> 1 + index of its router */
     guint64 lengths[LENGTHS];
-    guint looks;
-    guint64 most;    /* number used */
-    gint64 back_ms;  /* when the log comes back, 0 while it is there */
-    gint64 next_ms;  /* of the next fault */
-    gint64 quiet_ms; /* no faults from then on */
-    gint64 rest_ms;  /* until when nobody wants it, 0 for no rest */
-    guint twice;     /* numbers that two used */
-    guint lower;     /* uses of a lower number after a higher one */
-    guint together;  /* looks with two holders */
-    guint without;   /* looks without a holder */
-    guint returns;
-    gboolean held; /* by somebody, at the end */
-} World_t;
+    guint checks;
+    guint64 max_number; /* highest fencing number used */
+    gint64 back_ms;     /* when the log comes back, 0 while it is available */
+    gint64 next_ms;     /* time of the next fault */
+    gint64 faults_end_ms; /* no faults from then on */
+    gint64 idle_until_ms; /* nobody wants the lease until then; 0 for none */
+    guint shared_numbers; /* fencing numbers used by two routers */
+    guint lower_numbers;  /* uses of a lower number after a higher one */
+    guint two_holders;    /* checks that found two holders */
+    guint no_holder;      /* checks that found no holder */
+    guint restores;       /* restores of the log from an older copy */
+    gboolean held;        /* by some router, at the last check */
+} Simulation_t;
 
 static void
-start_router(World_t *this, Router_t *router)
+start_router(Simulation_t *this, Router_t *router)
 {
     router->incarnation++;
     router->epoch = StoreEpoch_create(NULL);
@@ -71,8 +72,8 @@
         .poll_ms = POLL_MS,
     };
     router->lease = Lease_create(this->base, &spec);
-    Lease_follow(router->lease, TRUE);
-    Lease_want(router->lease, TRUE, 0);
+    Lease_setFollowed(router->lease, TRUE);
+    Lease_setWanted(router->lease, TRUE, 0);
 }
 
 static void
@@ -84,14 +85,14 @@
 }
 
 static void
-begin_world(World_t *this, struct event_base *base, guint32 seed)
+begin_simulation(Simulation_t *this, struct event_base *base, guint32 seed)
 {
-    *this = (World_t){.base = base, .seed = seed};
+    *this = (Simulation_t){.base = base, .seed = seed};
     this->random = g_rand_new_with_seed(seed);
     this->log = FakeLog_create(base, seed);
     this->users =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-    this->quiet_ms = Clock_nowMs() + RUN_MS - TAKEN_IN_MS;
+    this->faults_end_ms = Clock_nowMs() + RUN_MS - RECOVERY_MS;
     FakeLog_setFaults(this->log, 10);
     for (guint i = 0; i < ROUTERS; i++) {
         g_snprintf(this->routers[i].name, sizeof(this->routers[i].name), "r%u",
@@ -101,7 +102,7 @@
 }
 
 static void
-end_world(World_t *this)
+end_simulation(Simulation_t *this)
 {
     for (guint i = 0; i < ROUTERS; i++) {
         stop_router(&this->routers[i]);
@@ -112,49 +113,50 @@
 }
 
 static gint32
-draw(World_t *this, gint32 least, gint32 most)
+draw_between(Simulation_t *this, gint32 min, gint32 max)
 {
-    return g_rand_int_range(this->random, least, most + 1);
+    return g_rand_int_range(this->random, min, max + 1);
 }
 
-/* Records of up to so many looks before are lost. */
+/* Restores the log from a copy of up to LENGTHS checks ago. */
 static void
-come_back(World_t *this)
+restore_log(Simulation_t *this)
 {
-    guint lost = (guint)draw(this, 0, MIN((gint32)this->looks, LENGTHS) - 1);
-    guint64 copy = this->lengths[(this->looks - lost - 1) % LENGTHS];
+    guint lost =
+        (guint)draw_between(this, 0, MIN((gint32)this->checks, LENGTHS) - 1);
+    guint64 copy = this->lengths[(this->checks - lost - 1) % LENGTHS];
     copy = MIN(copy, FakeLog_length(this->log));
     FakeLog_comeBackOlder(this->log, copy);
     FakeLog_setAway(this->log, FALSE);
     this->back_ms = 0;
-    this->returns++;
-    /* What it lost can not come back with the next return. */
+    this->restores++;
+    /* Lost records do not reappear with the next restore. */
     for (guint i = 0; i < LENGTHS; i++) {
         this->lengths[i] = MIN(this->lengths[i], copy);
     }
 }
 
 static void
-set_wanted(World_t *this, gboolean wanted)
+set_wanted(Simulation_t *this, gboolean wanted)
 {
     for (guint i = 0; i < ROUTERS; i++) {
-        Lease_want(this->routers[i].lease, wanted, 0);
+        Lease_setWanted(this->routers[i].lease, wanted, 0);
     }
 }
 
-/* Nothing is to be done for so long that all records expire. */
+/* No router wants the lease for long enough that all records expire. */
 static void
-begin_rest(World_t *this, gint64 now_ms)
+begin_idle(Simulation_t *this, gint64 now_ms)
 {
-    this->rest_ms = now_ms + 2 * LEASE_MS;
+    this->idle_until_ms = now_ms + 2 * LEASE_MS;
     set_wanted(this, FALSE);
 }
 
 static void
-end_rest(World_t *this)
+end_idle(Simulation_t *this)
 {
-    Router_t *router = &this->routers[draw(this, 0, ROUTERS - 1)];
-    this->rest_ms = 0;
+    Router_t *router = &this->routers[draw_between(this, 0, ROUTERS - 1)];
+    this->idle_until_ms = 0;
     FakeLog_expire(this->log, FakeLog_length(this->log));
     stop_router(router);
     start_router(this, router);
@@ -162,27 +164,27 @@
 }
 
 static void
-bring_fault(World_t *this, gint64 now_ms)
+inject_fault(Simulation_t *this, gint64 now_ms)
 {
-    Router_t *router = &this->routers[draw(this, 0, ROUTERS - 1)];
-    switch (draw(this, 0, 6)) {
+    Router_t *router = &this->routers[draw_between(this, 0, ROUTERS - 1)];
+    switch (draw_between(this, 0, 6)) {
     case 0:
     case 1:
         FakeLog_setAway(this->log, TRUE);
-        this->back_ms = now_ms + draw(this, 10, 200);
+        this->back_ms = now_ms + draw_between(this, 10, 200);
         break;
     case 2:
-        come_back(this); /* faster than any call */
+        restore_log(this); /* at once: no call sees the log away */
         break;
     case 3:
-        FakeLog_setCut(router->client, draw(this, 100, 900));
+        FakeLog_setCut(router->client, draw_between(this, 100, 900));
         break;
     case 4:
         stop_router(router);
         start_router(this, router);
         break;
     case 5:
-        begin_rest(this, now_ms);
+        begin_idle(this, now_ms);
         break;
     default:
         if (FakeLog_length(this->log) > 3) {
@@ -192,129 +194,132 @@
     }
 }
 
-/* Series, and pairs that overlap. */
+/* Ends faults that are over, and injects new ones: some far apart, some so
+ * soon after each other that they overlap. */
 static void
-tend_faults(World_t *this, gint64 now_ms)
+update_faults(Simulation_t *this, gint64 now_ms)
 {
     if (this->back_ms > 0 && now_ms >= this->back_ms) {
-        come_back(this);
+        restore_log(this);
     }
-    if (this->rest_ms > 0 && now_ms >= this->rest_ms) {
-        end_rest(this);
+    if (this->idle_until_ms > 0 && now_ms >= this->idle_until_ms) {
+        end_idle(this);
     }
-    if (this->rest_ms == 0 && now_ms >= this->next_ms &&
-        now_ms < this->quiet_ms) {
-        bring_fault(this, now_ms);
-        this->next_ms =
-            now_ms +
-            (draw(this, 0, 2) == 0 ? draw(this, 5, 60) : draw(this, 200, 900));
+    if (this->idle_until_ms == 0 && now_ms >= this->next_ms &&
+        now_ms < this->faults_end_ms) {
+        inject_fault(this, now_ms);
+        this->next_ms = now_ms + (draw_between(this, 0, 2) == 0
+                                      ? draw_between(this, 5, 60)
+                                      : draw_between(this, 200, 900));
     }
 }
 
 static void
-note_use(World_t *this, guint which, guint64 number)
+record_use(Simulation_t *this, guint router_idx, guint64 number)
 {
-    guint user = which + 1;
-    gpointer known = g_hash_table_lookup(this->users, &number);
-    if (known && GPOINTER_TO_UINT(known) != user) {
-        this->twice++;
+    guint router_id = router_idx + 1;
+    gpointer previous = g_hash_table_lookup(this->users, &number);
+    if (previous && GPOINTER_TO_UINT(previous) != router_id) {
+        this->shared_numbers++;
     }
-    if (number < this->most) {
-        this->lower++;
+    if (number < this->max_number) {
+        this->lower_numbers++;
     }
-    this->most = MAX(this->most, number);
+    this->max_number = MAX(this->max_number, number);
     g_hash_table_replace(this->users, g_memdup2(&number, sizeof(number)),
-                         GUINT_TO_POINTER(user));
+                         GUINT_TO_POINTER(router_id));
 }
 
 static void
-look(World_t *this)
+check_holders(Simulation_t *this)
 {
     guint holders = 0;
     for (guint i = 0; i < ROUTERS; i++) {
         if (Lease_remainingMs(this->routers[i].lease) > 0) {
-            note_use(this, i, Lease_number(this->routers[i].lease));
+            record_use(this, i, Lease_number(this->routers[i].lease));
             holders++;
         }
     }
     this->held = holders > 0;
-    this->together += holders > 1 ? 1 : 0;
-    this->without += holders == 0 ? 1 : 0;
-    this->lengths[this->looks % LENGTHS] = FakeLog_length(this->log);
-    this->looks++;
-    tend_faults(this, Clock_nowMs());
+    this->two_holders += holders > 1 ? 1 : 0;
+    this->no_holder += holders == 0 ? 1 : 0;
+    this->lengths[this->checks % LENGTHS] = FakeLog_length(this->log);
+    this->checks++;
+    update_faults(this, Clock_nowMs());
 }
 
 typedef struct {
-    World_t *worlds;
+    Simulation_t *sims;
     struct event *timer;
     gint64 until_ms;
 } Run_t;
 
 static void
-on_look(evutil_socket_t fd, short what, void *data)
+on_check(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
     Run_t *run = data;
-    for (guint i = 0; i < WORLDS; i++) {
-        look(&run->worlds[i]);
+    for (guint i = 0; i < SIMULATIONS; i++) {
+        check_holders(&run->sims[i]);
     }
     if (Clock_nowMs() < run->until_ms) {
-        Clock_arm(run->timer, LOOK_MS);
+        Clock_arm(run->timer, CHECK_MS);
     }
 }
 
 static guint
-count_bad(const World_t *worlds)
+count_failed(const Simulation_t *sims)
 {
-    guint bad = 0;
-    guint without = 0;
-    guint looks = 0;
-    guint returns = 0;
-    for (guint i = 0; i < WORLDS; i++) {
-        const World_t *world = &worlds[i];
-        if (world->twice + world->lower + world->together > 0 ||
-            !world->held) {
-            g_print("seed %u: %u numbers of two, %u lower, %u looks with two "
-                    "holders, held at the end: %d\n",
-                    world->seed, world->twice, world->lower, world->together,
-                    world->held);
-            bad++;
+    guint failed = 0;
+    guint no_holder = 0;
+    guint checks = 0;
+    guint restores = 0;
+    for (guint i = 0; i < SIMULATIONS; i++) {
+        const Simulation_t *sim = &sims[i];
+        if (sim->shared_numbers + sim->lower_numbers + sim->two_holders > 0 ||
+            !sim->held) {
+            g_print("seed %u: %u numbers used by two routers, %u lower "
+                    "numbers, %u checks with two holders, held at the end: "
+                    "%d\n",
+                    sim->seed, sim->shared_numbers, sim->lower_numbers,
+                    sim->two_holders, sim->held);
+            failed++;
         }
-        without += world->without;
-        looks += world->looks;
-        returns += world->returns;
+        no_holder += sim->no_holder;
+        checks += sim->checks;
+        restores += sim->restores;
     }
-    g_print("%u returns, without a holder in %u of %u looks\n", returns,
-            without, looks);
-    return bad;
+    g_print("%u restores, no holder in %u of %u checks\n", restores, no_holder,
+            checks);
+    return failed;
 }
 
-START_TEST(one_holds_at_a_time_and_no_number_is_used_by_two)
+START_TEST(one_router_holds_the_lease_at_a_time_and_no_number_is_used_by_two)
 {
     const char *first = g_getenv("SEED");
     guint32 seed = first ? (guint32)atoi(first) : 1;
     struct event_base *base = event_base_new();
-    World_t *worlds = g_new0(World_t, WORLDS);
-    for (guint i = 0; i < WORLDS; i++) {
-        begin_world(&worlds[i], base, seed + i);
+    Simulation_t *sims = g_new0(Simulation_t, SIMULATIONS);
+    for (guint i = 0; i < SIMULATIONS; i++) {
+        begin_simulation(&sims[i], base, seed + i);
     }
-    Run_t run = {.worlds = worlds, .until_ms = Clock_nowMs() + RUN_MS};
-    run.timer = Clock_timer(base, on_look, &run);
-    Clock_arm(run.timer, LOOK_MS);
+    Run_t run = {.sims = sims, .until_ms = Clock_nowMs() + RUN_MS};
+    run.timer = Clock_timer(base, on_check, &run);
+    Clock_arm(run.timer, CHECK_MS);
     while (Clock_nowMs() < run.until_ms) {
         event_base_loop(base, EVLOOP_ONCE);
     }
-    guint bad = count_bad(worlds);
-    for (guint i = 0; i < WORLDS; i++) {
-        end_world(&worlds[i]);
+    guint failed = count_failed(sims);
+    for (guint i = 0; i < SIMULATIONS; i++) {
+        end_simulation(&sims[i]);
     }
     event_free(run.timer);
     event_base_free(base);
-    g_free(worlds);
-    ck_assert_uint_eq(bad, 0);
+    g_free(sims);
+    ck_assert_uint_eq(failed, 0);
 }
 END_TEST
 
-TESTING_MAIN("Lease", one_holds_at_a_time_and_no_number_is_used_by_two)
+TESTING_MAIN("Lease",
+             one_router_holds_the_lease_at_a_time_and_no_number_is_used_by_two)
--- a/tests/test_LeaseTable.c
+++ b/tests/test_LeaseTable.c
@@ -2,19 +2,19 @@
 
 #include "LeaseTable.h"
 
-/* The largest whole number up to which JSON numbers are exact. */
-#define JSON_EXACT_MOST ((guint64)1 << 53)
+/* Integers up to this one are exact in JSON. */
+#define JSON_EXACT_MAX ((guint64)1 << 53)
 
 static gboolean
-fold_over(LeaseTable_t *table, guint64 epoch, guint64 offset,
-          const char *holder, guint64 expects, guint64 over)
+fold_with_max_ended(LeaseTable_t *table, guint64 epoch, guint64 offset,
+                    const char *holder, guint64 expects, guint64 max_ended)
 {
     Wt__LeaseRecord record = WT__LEASE_RECORD__INIT;
     record.scope = "s";
     record.holder = (char *)holder;
     record.expects = expects;
     record.duration_ms = 1000;
-    record.over = over;
+    record.over = max_ended;
     record.epoch = epoch;
     return LeaseTable_fold(table, offset, &record);
 }
@@ -23,7 +23,7 @@
 fold_of_epoch(LeaseTable_t *table, guint64 epoch, guint64 offset,
               const char *holder, guint64 expects)
 {
-    return fold_over(table, epoch, offset, holder, expects, 0);
+    return fold_with_max_ended(table, epoch, offset, holder, expects, 0);
 }
 
 static gboolean
@@ -38,7 +38,7 @@
     return LeaseTable_fold(table, offset, &record);
 }
 
-START_TEST(of_two_takers_the_first_wins)
+START_TEST(first_of_two_records_that_take_a_lease_wins)
 {
     LeaseTable_t *table = LeaseTable_create();
     ck_assert(fold(table, 0, "s", "a", 0));
@@ -48,7 +48,7 @@
 }
 END_TEST
 
-START_TEST(numbers_only_grow)
+START_TEST(fencing_numbers_only_grow)
 {
     LeaseTable_t *table = LeaseTable_create();
     guint64 last = 0;
@@ -62,7 +62,7 @@
 }
 END_TEST
 
-START_TEST(late_renewal_of_a_lost_lease_is_not_taken)
+START_TEST(late_renewal_of_a_lost_lease_has_no_effect)
 {
     LeaseTable_t *table = LeaseTable_create();
     fold(table, 0, "s", "a", 0);
@@ -73,7 +73,7 @@
 }
 END_TEST
 
-START_TEST(scopes_are_apart)
+START_TEST(scopes_are_independent)
 {
     LeaseTable_t *table = LeaseTable_create();
     ck_assert(fold(table, 0, "s", "a", 0));
@@ -83,33 +83,33 @@
 }
 END_TEST
 
-START_TEST(first_record_after_an_expiry_is_not_taken_for_granted)
+START_TEST(first_record_after_expired_records_is_unconfirmed)
 {
     LeaseTable_t *table = LeaseTable_create();
-    LeaseTable_setUnsure(table);
+    LeaseTable_setUnconfirmed(table);
     ck_assert(!fold(table, 10, "s", "loser", 4));
     ck_assert(!fold(table, 11, "s", "holder", 9));
     ck_assert_ptr_null(LeaseTable_find(table, "s"));
     ck_assert(fold(table, 12, "s", "holder", 12));
     ck_assert_uint_eq(LeaseTable_find(table, "s")->number, 13);
-    ck_assert(!LeaseTable_isUnsure(table, "s"));
+    ck_assert(!LeaseTable_isUnconfirmed(table, "s"));
     LeaseTable_destroy(table);
 }
 END_TEST
 
-START_TEST(silence_makes_the_last_record_count)
+START_TEST(last_record_is_confirmed_after_silence)
 {
     LeaseTable_t *table = LeaseTable_create();
-    LeaseTable_setUnsure(table);
+    LeaseTable_setUnconfirmed(table);
     fold(table, 10, "s", "a", 4);
-    LeaseTable_setSure(table, 11);
+    LeaseTable_setConfirmed(table, 11);
     ck_assert_uint_eq(LeaseTable_find(table, "s")->number, 11);
     ck_assert(fold(table, 11, "s", "b", 11));
     LeaseTable_destroy(table);
 }
 END_TEST
 
-START_TEST(numbers_grow_over_epochs_and_stay_exact)
+START_TEST(fencing_numbers_grow_across_epochs_and_stay_exact_in_json)
 {
     LeaseTable_t *table = LeaseTable_create();
     guint64 last = 0;
@@ -123,12 +123,12 @@
     }
     LeaseTable_beginEpoch(table, 1000000);
     ck_assert(fold_of_epoch(table, 1000000, 7, "a", 0));
-    ck_assert_uint_lt(LeaseTable_find(table, "s")->number, JSON_EXACT_MOST);
+    ck_assert_uint_lt(LeaseTable_find(table, "s")->number, JSON_EXACT_MAX);
     LeaseTable_destroy(table);
 }
 END_TEST
 
-START_TEST(what_was_appended_before_a_return_counts_for_nothing)
+START_TEST(records_of_an_earlier_epoch_have_no_effect)
 {
     LeaseTable_t *table = LeaseTable_create();
     LeaseTable_beginEpoch(table, 2);
@@ -141,47 +141,48 @@
 }
 END_TEST
 
-/* Two routers held the lease at once: nothing had been done for longer than
- * the log keeps its records, one router had started meanwhile and found no
- * lease, and the others expected a record to name the last one that they knew.
- * In 5 of 96 worlds of test_Lease, for up to 673 looks of 2 ms. */
-START_TEST(who_knows_the_last_lease_and_who_does_not_agree_on_the_next)
+/* Regression: two routers held the lease at once. After all records had
+ * expired from the log, a router that had started meanwhile knew no lease,
+ * while the others expected a record to name the last lease that they knew. */
+START_TEST(routers_that_know_and_do_not_know_the_last_lease_agree_on_the_next)
 {
-    LeaseTable_t *old = LeaseTable_create();
-    LeaseTable_t *young = LeaseTable_create();
-    ck_assert(fold(old, 0, "s", "a", 0));
-    ck_assert(fold(old, 1, "s", "a", 1));
-    LeaseTable_setUnsure(young);
-    LeaseTable_setSure(young, 2);
-    guint64 over = LeaseTable_over(young);
-    ck_assert(fold_over(young, 0, 2, "b", 0, over));
-    ck_assert(fold_over(old, 0, 2, "b", 0, over));
-    ck_assert(!fold_over(young, 0, 3, "a", 2, 0));
-    ck_assert(!fold_over(old, 0, 3, "a", 2, 0));
-    ck_assert_uint_eq(LeaseTable_find(old, "s")->number, 3);
-    ck_assert_uint_eq(LeaseTable_find(young, "s")->number, 3);
-    LeaseTable_destroy(old);
-    LeaseTable_destroy(young);
+    LeaseTable_t *informed = LeaseTable_create();
+    LeaseTable_t *uninformed = LeaseTable_create();
+    ck_assert(fold(informed, 0, "s", "a", 0));
+    ck_assert(fold(informed, 1, "s", "a", 1));
+    LeaseTable_setUnconfirmed(uninformed);
+    LeaseTable_setConfirmed(uninformed, 2);
+    guint64 max_ended = LeaseTable_maxEndedNumber(uninformed);
+    ck_assert(fold_with_max_ended(uninformed, 0, 2, "b", 0, max_ended));
+    ck_assert(fold_with_max_ended(informed, 0, 2, "b", 0, max_ended));
+    ck_assert(!fold_with_max_ended(uninformed, 0, 3, "a", 2, 0));
+    ck_assert(!fold_with_max_ended(informed, 0, 3, "a", 2, 0));
+    ck_assert_uint_eq(LeaseTable_find(informed, "s")->number, 3);
+    ck_assert_uint_eq(LeaseTable_find(uninformed, "s")->number, 3);
+    LeaseTable_destroy(informed);
+    LeaseTable_destroy(uninformed);
 }
 END_TEST
 
-START_TEST(a_lease_after_one_that_is_not_known_here_is_taken)
+START_TEST(lease_that_follows_an_unknown_ended_lease_takes_effect)
 {
-    LeaseTable_t *young = LeaseTable_create();
-    LeaseTable_setUnsure(young);
-    LeaseTable_setSure(young, 2);
-    ck_assert(fold_over(young, 0, 2, "a", 2, 0));
-    ck_assert(!fold_over(young, 0, 3, "b", 0, LeaseTable_over(young)));
-    ck_assert_str_eq(LeaseTable_find(young, "s")->holder->str, "a");
-    LeaseTable_destroy(young);
+    LeaseTable_t *uninformed = LeaseTable_create();
+    LeaseTable_setUnconfirmed(uninformed);
+    LeaseTable_setConfirmed(uninformed, 2);
+    ck_assert(fold_with_max_ended(uninformed, 0, 2, "a", 2, 0));
+    ck_assert(!fold_with_max_ended(uninformed, 0, 3, "b", 0,
+                                   LeaseTable_maxEndedNumber(uninformed)));
+    ck_assert_str_eq(LeaseTable_find(uninformed, "s")->holder->str, "a");
+    LeaseTable_destroy(uninformed);
 }
 END_TEST
 
-TESTING_MAIN("LeaseTable", of_two_takers_the_first_wins, numbers_only_grow,
-             late_renewal_of_a_lost_lease_is_not_taken, scopes_are_apart,
-             first_record_after_an_expiry_is_not_taken_for_granted,
-             silence_makes_the_last_record_count,
-             who_knows_the_last_lease_and_who_does_not_agree_on_the_next,
-             a_lease_after_one_that_is_not_known_here_is_taken,
-             numbers_grow_over_epochs_and_stay_exact,
-             what_was_appended_before_a_return_counts_for_nothing)
+TESTING_MAIN(
+    "LeaseTable", first_of_two_records_that_take_a_lease_wins,
+    fencing_numbers_only_grow, late_renewal_of_a_lost_lease_has_no_effect,
+    scopes_are_independent, first_record_after_expired_records_is_unconfirmed,
+    last_record_is_confirmed_after_silence,
+    routers_that_know_and_do_not_know_the_last_lease_agree_on_the_next,
+    lease_that_follows_an_unknown_ended_lease_takes_effect,
+    fencing_numbers_grow_across_epochs_and_stay_exact_in_json,
+    records_of_an_earlier_epoch_have_no_effect)
--- a/tests/test_RouteSync.c
+++ b/tests/test_RouteSync.c
@@ -55,7 +55,7 @@
 static Calls_t calls;
 static FakeRouters_t routers;
 static RouteTable_t *routes;
-static NamedWeights_t *weights;
+static ModelVersions_t *weights;
 static RouteSync_t *route_sync;
 static StoreEpoch_t *epoch;
 static guint self; /* the router whose part is tested */
@@ -151,7 +151,7 @@
     calls = (Calls_t){.super = {.class = &class}};
     calls.open = g_array_new(FALSE, FALSE, sizeof(Call_t));
     routes = RouteTable_create();
-    weights = NamedWeights_create();
+    weights = ModelVersions_create();
     epoch = StoreEpoch_create(NULL);
     RouteSyncSpec_t spec = {.source = &calls.super,
                             .form = &form,
@@ -177,7 +177,7 @@
 {
     RouteSync_destroy(route_sync);
     StoreEpoch_destroy(epoch);
-    NamedWeights_destroy(weights);
+    ModelVersions_destroy(weights);
     RouteTable_destroy(routes);
     g_array_unref(calls.open);
     FakeRouters_clear(&routers);
@@ -461,14 +461,14 @@
 {
     begin(1);
     answer(0, 10, WEIGHTS_KEY, "3", 9);
-    ck_assert_str_eq(NamedWeights_find(weights, MODEL), "3");
-    ck_assert_int_ge(NamedWeights_ageMs(weights, MODEL, Clock_nowMs()),
+    ck_assert_str_eq(ModelVersions_findNewest(weights, MODEL), "3");
+    ck_assert_int_ge(ModelVersions_ageMs(weights, MODEL, Clock_nowMs()),
                      UNKNOWN_AGE_MS);
     answer(0, 11, WEIGHTS_KEY, "2", 10);
-    ck_assert_str_eq(NamedWeights_find(weights, MODEL), "3");
+    ck_assert_str_eq(ModelVersions_findNewest(weights, MODEL), "3");
     answer(0, 12, WEIGHTS_KEY, "4", 11);
-    ck_assert_str_eq(NamedWeights_find(weights, MODEL), "4");
-    ck_assert_int_lt(NamedWeights_ageMs(weights, MODEL, Clock_nowMs()),
+    ck_assert_str_eq(ModelVersions_findNewest(weights, MODEL), "4");
+    ck_assert_int_lt(ModelVersions_ageMs(weights, MODEL, Clock_nowMs()),
                      UNKNOWN_AGE_MS);
     end();
 }
--- a/tests/test_RouteVersions.c
+++ b/tests/test_RouteVersions.c
@@ -18,7 +18,7 @@
 
 static struct event_base *base;
 static RouteTable_t *routes;
-static NamedWeights_t *weights;
+static ModelVersions_t *weights;
 static RouteVersions_t *versions;
 
 static guint64
@@ -58,7 +58,7 @@
 {
     base = event_base_new();
     routes = RouteTable_create();
-    weights = NamedWeights_create();
+    weights = ModelVersions_create();
     RouteVersionsSpec_t spec = {.form = &form,
                                 .routes = routes,
                                 .weights = weights,
@@ -70,7 +70,7 @@
 end(void)
 {
     RouteVersions_destroy(versions);
-    NamedWeights_destroy(weights);
+    ModelVersions_destroy(weights);
     RouteTable_destroy(routes);
     event_base_free(base);
 }
@@ -171,7 +171,7 @@
     take(CONFIG_KEY, "5", 1, 2);
     take(WEIGHTS_KEY, "2", 1, 3);
     ck_assert_uint_eq(RouteVersions_inForce(versions), 7);
-    ck_assert_str_eq(NamedWeights_find(weights, "m"), "3");
+    ck_assert_str_eq(ModelVersions_findNewest(weights, "m"), "3");
     GPtrArray *apart =
         RouteVersions_apart(versions, (StorePosition_t){.epoch = 1});
     ck_assert_uint_eq(apart->len, 2);
--- a/tests/test_Suspension.c
+++ b/tests/test_Suspension.c
@@ -11,7 +11,7 @@
 #include <unistd.h>
 
 #include "Clock.h"
-#include "NamedWeights.h"
+#include "ModelVersions.h"
 #include "PeerAge.h"
 #include "RouteTable.h"
 #include "Upstream.h"
@@ -72,13 +72,15 @@
 
 START_TEST(test_weights_named_before_are_overdue_after_it)
 {
-    NamedWeights_t *weights = NamedWeights_create();
-    NamedWeights_take(weights, "m", 1, Clock_nowMs() - 100000);
-    NamedWeights_take(weights, "m", 2, Clock_nowMs());
-    ck_assert_uint_eq(NamedWeights_due(weights, "m", 10000, Clock_nowMs()), 1);
+    ModelVersions_t *weights = ModelVersions_create();
+    ModelVersions_add(weights, "m", 1, Clock_nowMs() - 100000);
+    ModelVersions_add(weights, "m", 2, Clock_nowMs());
+    ck_assert_uint_eq(
+        ModelVersions_minVersion(weights, "m", 10000, Clock_nowMs()), 1);
     suspend(30);
-    ck_assert_uint_eq(NamedWeights_due(weights, "m", 10000, Clock_nowMs()), 2);
-    NamedWeights_destroy(weights);
+    ck_assert_uint_eq(
+        ModelVersions_minVersion(weights, "m", 10000, Clock_nowMs()), 2);
+    ModelVersions_destroy(weights);
 }
 END_TEST
 
