--- a/src/AcceptHold.h
+++ b/src/AcceptHold.h
@@ -3,25 +3,26 @@
 /**
  * DOC: AcceptHold
  *
- * Leaves callers' connections in the kernel's queue until the router knows
- * enough to answer them. What is refused at once after a start costs its
- * caller a try, and where all routers start at once the next one would refuse
- * it as well. It ends by itself after a bounded time: a caller that is left
- * waiting for longer is better told.
+ * Leaves callers' connections in the kernel's accept queue after a start until
+ * the router knows enough to answer requests. A request that is refused right
+ * after a start costs its caller one attempt, and if all routers start at once
+ * the next router would refuse it as well. The hold ends after a bounded time
+ * in any case, because a refusal serves a caller better than a longer wait.
  */
 #include <event2/event.h>
 #include <event2/listener.h>
 #include <glib.h>
 
-/** Longest time for which connections are left; callers on the users'
- * platform give a try up that no router has read after a second. */
-#define ACCEPT_HOLD_MS 500
+/** Longest time that connections stay in the accept queue. Callers on the
+ * users' platform give up an attempt whose connection no router has read from
+ * within a second. */
+#define ACCEPT_HOLD_MAX_MS 500
 
 /**
- * struct AcceptHoldSpec_t - what it needs; all must outlive it
- * @listener: of the callers
- * @is_known: whether the router knows enough to answer
- * @owner: for @is_known
+ * struct AcceptHoldSpec_t - parameters; all objects must outlive the hold
+ * @listener: listener for callers' connections
+ * @is_known: returns whether the router knows enough to answer requests
+ * @owner: argument of @is_known
  */
 typedef struct {
     struct evconnlistener *listener;
@@ -32,14 +33,14 @@
 /** struct AcceptHold_t - opaque */
 typedef struct AcceptHold AcceptHold_t;
 
-/** AcceptHold_create() - take no connections from now on */
+/** AcceptHold_create() - stop accepting connections until the hold ends */
 AcceptHold_t *AcceptHold_create(struct event_base *base,
                                 const AcceptHoldSpec_t *spec);
 
-/** AcceptHold_destroy() - free it; the listener is left as it is */
+/** AcceptHold_destroy() - free the hold without changing the listener */
 void AcceptHold_destroy(AcceptHold_t *this);
 
-/** AcceptHold_isOver() - whether connections are taken again */
+/** AcceptHold_isOver() - whether connections are accepted again */
 gboolean AcceptHold_isOver(const AcceptHold_t *this);
 
 #endif
--- a/src/CacheStore.c
+++ b/src/CacheStore.c
@@ -22,7 +22,7 @@
  * take too long, so that stored prefixes were computed again. */
 typedef struct {
     GString *hall;
-    Link_t link;
+    TransferLink_t link;
 } Copy_t;
 
 typedef struct {
@@ -161,7 +161,7 @@
     return copy_of(this, prefix)->hall->str;
 }
 
-Link_t *
+TransferLink_t *
 CacheStore_link(CacheStore_t *this, guint64 prefix)
 {
     return &copy_of(this, prefix)->link;
@@ -173,7 +173,7 @@
     gint64 sum_us = 0;
     for (guint i = 0; i < this->copy_count; i++) {
         const Copy_t *copy = g_ptr_array_index(this->copies, i);
-        sum_us += Link_ownUs(&copy->link, now_us);
+        sum_us += TransferLink_localUs(&copy->link, now_us);
     }
     return sum_us;
 }
--- a/src/CacheStore.h
+++ b/src/CacheStore.h
@@ -12,7 +12,7 @@
 #include <glib.h>
 
 #include "HintFlood.h"
-#include "Link.h"
+#include "TransferLink.h"
 
 /** struct CacheStore_t - opaque */
 typedef struct CacheStore CacheStore_t;
@@ -77,7 +77,7 @@
 const char *CacheStore_hall(const CacheStore_t *this, guint64 prefix);
 
 /** CacheStore_link() - link of the copy that stores a prefix */
-Link_t *CacheStore_link(CacheStore_t *this, guint64 prefix);
+TransferLink_t *CacheStore_link(CacheStore_t *this, guint64 prefix);
 
 /** CacheStore_localUs() - remaining time of this router's moves, summed over
  * the links of all copies */
--- a/src/Claims.c
+++ b/src/Claims.c
@@ -220,7 +220,8 @@
 {
     char name[24];
     shard_name(pending->shard, name);
-    Member_t *owner = Membership_owner(pending->owner->spec.membership, name);
+    Member_t *owner =
+        Membership_findOwner(pending->owner->spec.membership, name);
     if (owner && !pending->peer_failed && submit_to(pending, owner)) {
         return;
     }
--- a/src/ConfigSync.c
+++ b/src/ConfigSync.c
@@ -177,8 +177,9 @@
 static gboolean
 is_reader(const ConfigSync_t *this)
 {
-    return Membership_rank(this->membership, "config-reader",
-                           this->settings->router.hall->str) < CONFIG_READERS;
+    return Membership_localRank(this->membership, "config-reader",
+                                this->settings->router.hall->str) <
+           CONFIG_READERS;
 }
 
 static void
@@ -229,7 +230,7 @@
         return;
     }
     if (this->snapshot_due_ms == 0) {
-        guint rank = Membership_rank(this->membership, "snapshot", NULL);
+        guint rank = Membership_localRank(this->membership, "snapshot", NULL);
         this->snapshot_due_ms = now_ms + (gint64)rank * SNAPSHOT_TURN_MS;
     }
     if (now_ms >= this->snapshot_due_ms) {
@@ -245,8 +246,8 @@
     (void)what;
     ConfigSync_t *this = data;
     gint64 now_ms = Clock_nowMs();
-    Membership_setOffset(this->membership,
-                         ConfigStore_foldOffset(this->store));
+    Membership_setFoldOffset(this->membership,
+                             ConfigStore_foldOffset(this->store));
     ConfigLog_setReading(this->log, is_reader(this));
     pull_if_behind(this, now_ms);
     snapshot_if_due(this, now_ms);
--- a/src/CrashGuard.c
+++ b/src/CrashGuard.c
@@ -256,7 +256,7 @@
             &g_array_index(stored, RequestDigest_t, i);
         char key[REQUEST_DIGEST_TEXT + 1];
         RequestDigest_write(digest, key);
-        if (Membership_rank(this->spec.membership, key, NULL) == 0) {
+        if (Membership_localRank(this->spec.membership, key, NULL) == 0) {
             CrashRecords_remove(this->records, digest);
         }
     }
@@ -271,7 +271,7 @@
     CrashGuard_t *this = data;
     char key[REQUEST_DIGEST_TEXT + 1];
     RequestDigest_write(&entry->digest, key);
-    if (Membership_rank(this->spec.membership, key, NULL) != 0) {
+    if (Membership_localRank(this->spec.membership, key, NULL) != 0) {
         return;
     }
     if (CrashEntry_quarantineMs(entry, Clock_nowMs()) > 0) {
@@ -287,7 +287,7 @@
 on_store_restored(void *owner)
 {
     CrashGuard_t *this = owner;
-    if (Membership_isSettled(this->spec.membership)) {
+    if (Membership_isConverged(this->spec.membership)) {
         CrashTable_forEach(this->table, rewrite_record, this);
     }
 }
--- a/src/CrashNews.c
+++ b/src/CrashNews.c
@@ -132,7 +132,7 @@
     add_unsent(this, batch, 2);
     add_unsent(this, batch, 0);
     make_message(batch, this->alive, &body, &message);
-    Membership_sendAll(this->membership, &message);
+    Membership_broadcast(this->membership, &message);
     g_array_set_size(this->alive, 0);
     if (g_hash_table_size(this->unsent) > 0) {
         Clock_arm(this->broadcast_timer, BROADCAST_DELAY_MS);
--- a/src/Dispatch.c
+++ b/src/Dispatch.c
@@ -238,9 +238,9 @@
     Dispatch_t *this = query->dispatch;
     DispatchTicket_t no_ticket = {0};
     Choice_t no_choice = {.reason = "unanswered"};
-    Membership_noteUnanswered(this->spec.membership,
-                              query->dispatcher_name->str,
-                              Clock_nowMs() + UNANSWERED_BACKOFF_MS);
+    Membership_noteUnreachable(this->spec.membership,
+                               query->dispatcher_name->str,
+                               Clock_nowMs() + UNANSWERED_BACKOFF_MS);
     Counters_add(this->spec.counters, "places_unanswered_total", NULL, 1);
     send_update(this, &query->ticket, WT__PLACE_STATE__ENDED, 0);
     finish_query(query, &no_choice, &no_ticket);
@@ -267,7 +267,7 @@
     this->queries =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_query);
     this->next_id = make_first_ticket_id(Membership_address(spec->membership));
-    PeerDatagrams_listen(spec->datagrams, on_message, this);
+    PeerDatagrams_addHandler(spec->datagrams, on_message, this);
     return this;
 }
 
@@ -323,7 +323,8 @@
     char group[GROUP_NAME_SIZE];
     g_snprintf(group, sizeof(group), "%.*s/%u", GROUP_TARGET_MAX,
                placement->target, choice->group);
-    return Membership_answering(this->spec.membership, group, Clock_nowMs());
+    return Membership_findReachableOwner(this->spec.membership, group,
+                                         Clock_nowMs());
 }
 
 static DispatchQuery_t *
@@ -332,7 +333,7 @@
     DispatchQuery_t *query = g_new0(DispatchQuery_t, 1);
     query->dispatch = this;
     query->ticket.id = ++this->next_id;
-    query->ticket.dispatcher = PeerDatagrams_address(&dispatcher->address);
+    query->ticket.dispatcher = PeerDatagrams_toSockaddr(&dispatcher->address);
     query->dispatcher_name = g_string_new(dispatcher->name->str);
     query->timeout = Clock_timer(this->base, on_timeout, query);
     Clock_arm(query->timeout, DISPATCH_TIMEOUT_MS);
--- a/src/Exchange.c
+++ b/src/Exchange.c
@@ -183,9 +183,9 @@
 {
     this->context->open_requests++;
     CrashGuard_addRequest(this->context->crashes, this);
-    RetryBudget_setRouterCount(this->context->budget,
-                               Membership_live(this->context->membership),
-                               Clock_nowMs());
+    RetryBudget_setRouterCount(
+        this->context->budget,
+        Membership_countActive(this->context->membership), Clock_nowMs());
     RetryBudget_deposit(this->context->budget, this->target->str);
     arm_deadline(this);
 }
--- a/src/FirstTokenEstimate.c
+++ b/src/FirstTokenEstimate.c
@@ -38,7 +38,7 @@
     }
 }
 
-static Link_t *
+static TransferLink_t *
 source_link(const FirstTokenEstimate_t *this)
 {
     if (this->supply.kind == SUPPLY_ENGINE && this->supply.source) {
@@ -55,7 +55,7 @@
 FirstTokenEstimate_learn(const FirstTokenEstimate_t *this, gint64 waited_us,
                          gint64 now_ms)
 {
-    Link_t *link = source_link(this);
+    TransferLink_t *link = source_link(this);
     gint64 moved_us = this->supply.move_us + this->supply.wait_us;
     if (!link || moved_us <= 0) {
         Upstream_noteFirstToken(this->upstream, waited_us,
@@ -67,7 +67,7 @@
         moved_us;
     gint64 excess_us = waited_us - min_us - this->engine_us;
     gint64 link_us = excess_us * moved_us / (moved_us + this->engine_us);
-    Link_noteExcess(link, link_us, now_ms);
+    TransferLink_noteExcess(link, link_us, now_ms);
     Upstream_noteFirstToken(this->upstream, waited_us - moved_us - link_us,
                             this->missing_tokens, now_ms);
 }
--- a/src/FirstTokenEstimate.h
+++ b/src/FirstTokenEstimate.h
@@ -23,7 +23,7 @@
 typedef struct {
     Upstream_t *upstream;
     Supply_t supply;
-    Link_t *store_link;
+    TransferLink_t *store_link;
     guint missing_tokens;
     gint64 expected_us;
     gint64 engine_us;
--- a/src/FreshnessRelay.c
+++ b/src/FreshnessRelay.c
@@ -48,7 +48,7 @@
     Wt__PeerMessage message = WT__PEER_MESSAGE__INIT;
     message.body_case = WT__PEER_MESSAGE__BODY_CONFIG_CURRENT;
     message.config_current = &current;
-    Membership_sendAll(this->membership, &message);
+    Membership_broadcast(this->membership, &message);
     this->told_ms = this->at_ms;
     this->sent_ms = Clock_nowMs();
 }
@@ -135,8 +135,8 @@
 guint
 FreshnessRelay_rank(const FreshnessRelay_t *this)
 {
-    return Membership_isSettled(this->membership)
-               ? Membership_rank(this->membership, RANK_KEY, NULL)
+    return Membership_isConverged(this->membership)
+               ? Membership_localRank(this->membership, RANK_KEY, NULL)
                : G_MAXUINT;
 }
 
--- a/src/Gossip.c
+++ b/src/Gossip.c
@@ -5,22 +5,23 @@
 
 #include "Clock.h"
 #include "Log.h"
-#include "MemberNews.h"
+#include "MemberUpdates.h"
 #include "Random.h"
 
-/* How often another's heartbeat is passed on where not all are linked. */
-#define HEARTBEAT_RELAYS 2
-/* Peers that get a message each tick; where all are linked, all of them do
- * while there is news of upstreams. */
-#define FANOUT 2
-/* Largest message of news of routers: some hundred facts, so that a link that
- * is slow holds up little else. */
-#define NEWS_MESSAGE_MAX 8192
-/* All of 500 routers: 13 ms of a link of 20 Mbit/s. */
-#define ANSWER_MESSAGE_MAX 32768
-/* What one message holds beside its facts. */
-#define FRAME_OVERHEAD 32
-#define LEAST_MESSAGE 100
+/* Number of times that a peer's heartbeat is forwarded where not all routers
+ * are linked with each other. */
+#define HEARTBEAT_FORWARDS 2
+/* Number of peers that get a message each tick. In a mesh, all peers get one
+ * while updates of upstreams are queued. */
+#define FANOUT_PEERS 2
+/* Largest message of updates about routers: some hundred facts, so that a
+ * message delays other traffic on a slow link only briefly. */
+#define UPDATE_MESSAGE_MAX_BYTES 8192
+/* Holds all of 500 routers, and takes 13 ms on a link of 20 Mbit/s. */
+#define REPLY_MESSAGE_MAX_BYTES 32768
+/* Bytes reserved in a message for all but its facts. */
+#define FRAME_OVERHEAD_BYTES 32
+#define MESSAGE_MIN_BYTES 100
 
 struct Gossip {
     MemberTable_t *table;
@@ -28,13 +29,14 @@
     Counters_t *counters;
     const PeersSection_t *settings;
     GossipQueue_t *queue;
-    MemberNews_t *news;
-    double budget; /* bytes that may be sent now, but for news of routers */
+    MemberUpdates_t *updates;
+    /* Bytes that may be sent now; updates about routers have an allowance. */
+    double budget;
 };
 
 typedef struct {
     Gossip_t *owner;
-    gsize room;
+    gsize capacity;
     GPtrArray *members;
     GPtrArray *upstreams;
 } Message_t;
@@ -49,8 +51,8 @@
     this->counters = counters;
     this->settings = settings;
     this->queue = GossipQueue_create();
-    this->news = MemberNews_create(table);
-    MemberNews_note(this->news, &table->self);
+    this->updates = MemberUpdates_create(table);
+    MemberUpdates_note(this->updates, &table->self);
     return this;
 }
 
@@ -58,12 +60,12 @@
 Gossip_destroy(Gossip_t *this)
 {
     GossipQueue_destroy(this->queue);
-    MemberNews_destroy(this->news);
+    MemberUpdates_destroy(this->updates);
     g_free(this);
 }
 
 static guint
-sends_wanted(const Gossip_t *this)
+count_sends(const Gossip_t *this)
 {
     return 2 + (guint)ceil(2.0 * log2((double)this->table->live->len + 1.0));
 }
@@ -71,13 +73,14 @@
 void
 Gossip_spreadUpstream(Gossip_t *this, const char *name)
 {
-    GossipQueue_add(this->queue, FACT_UPSTREAM_NEWS, name, sends_wanted(this));
+    GossipQueue_add(this->queue, FACT_UPSTREAM_UPDATE, name,
+                    count_sends(this));
 }
 
 void
 Gossip_spreadMember(Gossip_t *this, Member_t *member)
 {
-    MemberNews_note(this->news, member);
+    MemberUpdates_note(this->updates, member);
 }
 
 gboolean
@@ -86,12 +89,13 @@
     return this->table->live->len < (guint)this->settings->mesh_routers;
 }
 
-/* In a mesh each peer hears it from here; elsewhere it is passed on. */
+/* The number of sends differs: in a mesh every peer receives the heartbeat
+ * from this router, otherwise peers forward it. */
 void
-Gossip_heartbeat(Gossip_t *this)
+Gossip_spreadHeartbeat(Gossip_t *this)
 {
     guint sends =
-        Gossip_isMesh(this) ? this->table->live->len : 2 * HEARTBEAT_RELAYS;
+        Gossip_isMesh(this) ? this->table->live->len : 2 * HEARTBEAT_FORWARDS;
     this->table->self.heartbeat++;
     if (sends > 0) {
         GossipQueue_add(this->queue, FACT_HEARTBEAT,
@@ -100,15 +104,15 @@
 }
 
 void
-Gossip_introduce(Gossip_t *this, Member_t *member)
+Gossip_syncPeer(Gossip_t *this, Member_t *member)
 {
-    member->told = 0;
-    member->sampled = 0;
+    member->sent_seq = 0;
+    member->sampled_count = 0;
     const GPtrArray *upstreams = UpstreamSet_all(this->upstreams);
     for (guint i = 0; i < upstreams->len; i++) {
         const Upstream_t *upstream = g_ptr_array_index(upstreams, i);
         if (upstream->leaving) {
-            GossipQueue_add(this->queue, FACT_UPSTREAM_NEWS,
+            GossipQueue_add(this->queue, FACT_UPSTREAM_UPDATE,
                             upstream->name->str, 2);
         }
     }
@@ -126,7 +130,7 @@
 }
 
 static void
-read_address(Address_t *address, const char *text)
+parse_address(Address_t *address, const char *text)
 {
     const char *colon = strrchr(text, ':');
     if (colon && (gsize)(colon - text) < sizeof(address->host)) {
@@ -135,90 +139,92 @@
     }
 }
 
-/* A heartbeat, which has neither address nor hall, may have come before the
- * fact in full. */
+/* Whether a fact is the first to carry the address and hall for its
+ * incarnation. A heartbeat carries neither, and may arrive before the full
+ * fact. */
 static gboolean
-tells_place(const Member_t *member, const Wt__MemberFact *fact)
+adds_address(const Member_t *member, const Wt__MemberFact *fact)
 {
     return *fact->hall && fact->incarnation == member->incarnation &&
-           member->placed_incarnation != fact->incarnation;
+           member->address_incarnation != fact->incarnation;
 }
 
 static void
-take_place(Member_t *member, const Wt__MemberFact *fact)
+apply_address(Member_t *member, const Wt__MemberFact *fact)
 {
     if (*fact->hall) {
-        read_address(&member->address, fact->address);
+        parse_address(&member->address, fact->address);
         g_string_assign(member->hall, fact->hall);
-        member->placed_incarnation = fact->incarnation;
+        member->address_incarnation = fact->incarnation;
     }
 }
 
 static void
-take_newer(Gossip_t *this, Member_t *member, const Wt__MemberFact *fact)
+apply_newer(Gossip_t *this, Member_t *member, const Wt__MemberFact *fact)
 {
-    gboolean reborn = fact->incarnation > member->incarnation;
-    gboolean news = reborn || tells_place(member, fact) ||
-                    fact->leaving != member->leaving ||
-                    fact->fold_offset > member->fold_offset;
-    member->leaving = fact->leaving || (member->leaving && !reborn);
+    gboolean restarted = fact->incarnation > member->incarnation;
+    gboolean changed = restarted || adds_address(member, fact) ||
+                       fact->leaving != member->leaving ||
+                       fact->fold_offset > member->fold_offset;
+    member->leaving = fact->leaving || (member->leaving && !restarted);
     member->incarnation = fact->incarnation;
     member->heartbeat =
-        reborn ? fact->heartbeat : MAX(member->heartbeat, fact->heartbeat);
+        restarted ? fact->heartbeat : MAX(member->heartbeat, fact->heartbeat);
     member->fold_offset = MAX(member->fold_offset, fact->fold_offset);
-    member->heard_ms = Clock_nowMs();
-    take_place(member, fact);
-    if (news) {
+    member->last_seen_ms = Clock_nowMs();
+    apply_address(member, fact);
+    if (changed) {
         Gossip_spreadMember(this, member);
     }
     else if (!Gossip_isMesh(this)) {
         GossipQueue_add(this->queue, FACT_HEARTBEAT, fact->name,
-                        HEARTBEAT_RELAYS);
+                        HEARTBEAT_FORWARDS);
     }
 }
 
 static void
-take_member(Gossip_t *this, const Wt__MemberFact *fact)
+apply_member(Gossip_t *this, const Wt__MemberFact *fact)
 {
     if (strcmp(fact->name, this->table->self.name->str) == 0) {
         return;
     }
-    Member_t *member = MemberTable_findOrMake(this->table, fact->name);
+    Member_t *member = MemberTable_findOrCreate(this->table, fact->name);
     if (is_newer(member, fact)) {
-        take_newer(this, member, fact);
+        apply_newer(this, member, fact);
     }
-    else if (tells_place(member, fact)) {
-        take_place(member, fact);
+    else if (adds_address(member, fact)) {
+        apply_address(member, fact);
         Gossip_spreadMember(this, member);
     }
 }
 
-/* Returns whether the weights are news; what is older than what is known
- * here is passed over. */
+/* Ignores a report that is not newer than the known one. Returns whether the
+ * weights have changed. */
 static gboolean
-take_report(Upstream_t *upstream, const Wt__UpstreamFact *fact, gint64 now_ms)
+apply_load_report(Upstream_t *upstream, const Wt__UpstreamFact *fact,
+                  gint64 now_ms)
 {
     gint64 at_ms = now_ms - fact->age_ms;
     if (fact->incarnation != upstream->incarnation ||
         at_ms <= upstream->reported_at_ms) {
         return FALSE;
     }
-    gboolean news =
+    gboolean changed =
         *fact->weights && strcmp(upstream->weights->str, fact->weights) != 0;
-    if (news) {
+    if (changed) {
         Upstream_noteWeights(upstream, fact->weights);
     }
     upstream->reported_at_ms = at_ms;
     upstream->reported_running = fact->running;
     upstream->reported_tokens = (gint64)fact->waiting_tokens;
-    return news;
+    return changed;
 }
 
-/* A pause is told with what is left of it, as clocks are not compared. Only
- * other weights or time end it: a peer that has not heard of it says nothing
- * of its end. */
+/* A fact carries the remaining time of a pause, because the clocks of routers
+ * are not compared. A pause ends only by other weights or by time: a fact
+ * without a pause may come from a peer that has not received the pause yet. */
 static gboolean
-take_pause(Upstream_t *upstream, const Wt__UpstreamFact *fact, gint64 now_ms)
+apply_pause(Upstream_t *upstream, const Wt__UpstreamFact *fact, gint64 now_ms)
 {
     if (fact->pausing_ms == 0 || upstream->paused_until_ms > now_ms ||
         strcmp(upstream->weights->str, fact->weights) != 0) {
@@ -229,55 +235,56 @@
 }
 
 static void
-take_upstream(Gossip_t *this, const Wt__UpstreamFact *fact)
+apply_upstream(Gossip_t *this, const Wt__UpstreamFact *fact)
 {
     Upstream_t *upstream = UpstreamSet_find(this->upstreams, fact->name);
     if (!upstream) {
         return;
     }
     gint64 now_ms = Clock_nowMs();
-    gboolean news =
+    gboolean changed =
         Upstream_noteIncarnation(upstream, fact->incarnation, now_ms);
-    gboolean leaves =
+    gboolean leaving =
         fact->leaving &&
         Upstream_noteLeaving(upstream, fact->incarnation, now_ms);
-    news = take_report(upstream, fact, now_ms) || news;
-    news = take_pause(upstream, fact, now_ms) || news;
-    if (leaves) {
+    changed = apply_load_report(upstream, fact, now_ms) || changed;
+    changed = apply_pause(upstream, fact, now_ms) || changed;
+    if (leaving) {
         Log_begin(LOG_LEVEL_INFO, "upstream_leaving");
         Log_text("upstream", fact->name);
         Log_text("source", "peer");
         Log_end();
-        news = TRUE;
+        changed = TRUE;
     }
-    if (news) {
+    if (changed) {
         Gossip_spreadUpstream(this, fact->name);
     }
 }
 
 void
-Gossip_take(Gossip_t *this, const Wt__Gossip *message)
+Gossip_receive(Gossip_t *this, const Wt__Gossip *message)
 {
     for (size_t i = 0; i < message->n_members; i++) {
-        take_member(this, message->members[i]);
+        apply_member(this, message->members[i]);
     }
     for (size_t i = 0; i < message->n_upstreams; i++) {
-        take_upstream(this, message->upstreams[i]);
+        apply_upstream(this, message->upstreams[i]);
     }
 }
 
-/* A heartbeat needs no more than the number; the rest is known. */
+/* A heartbeat is sent without address and hall, which the receivers have from
+ * the full fact. */
 static Wt__MemberFact *
-make_member_fact(const Member_t *member, gboolean in_full)
+make_member_fact(const Member_t *member, gboolean is_full)
 {
     Wt__MemberFact *fact = g_new0(Wt__MemberFact, 1);
     wt__member_fact__init(fact);
     fact->name = member->name->str;
     fact->incarnation = member->incarnation;
-    fact->address = in_full ? g_strdup_printf("%s:%u", member->address.host,
+    fact->address = is_full ? g_strdup_printf("%s:%u", member->address.host,
                                               member->address.port)
                             : g_strdup("");
-    fact->hall = in_full ? member->hall->str : (char *)"";
+    fact->hall = is_full ? member->hall->str : (char *)"";
     fact->heartbeat = member->heartbeat;
     fact->leaving = member->leaving;
     fact->fold_offset = member->fold_offset;
@@ -311,26 +318,28 @@
 }
 
 static gboolean
-add_fact(Message_t *message, GPtrArray *list, gpointer fact, gsize size)
+append_if_fits(Message_t *message, GPtrArray *list, gpointer fact, gsize size)
 {
-    if (size > message->room) {
+    if (size > message->capacity) {
         return FALSE;
     }
-    message->room -= size;
+    message->capacity -= size;
     g_ptr_array_add(list, fact);
     return TRUE;
 }
 
-/* Where a router listens may not be known yet; it has news again then. */
+/* Skips a router whose address is not known yet; the router is queued again
+ * when the address arrives. */
 static gboolean
-take_member_fact(Message_t *message, const Member_t *member, gboolean in_full)
+append_member_fact(Message_t *message, const Member_t *member,
+                   gboolean is_full)
 {
     if (member->address.port == 0) {
         return TRUE;
     }
-    Wt__MemberFact *fact = make_member_fact(member, in_full);
+    Wt__MemberFact *fact = make_member_fact(member, is_full);
     gsize size = wt__member_fact__get_packed_size(fact) + 2;
-    if (!add_fact(message, message->members, fact, size)) {
+    if (!append_if_fits(message, message->members, fact, size)) {
         free_member_fact(fact);
         return FALSE;
     }
@@ -338,17 +347,17 @@
 }
 
 static gboolean
-take_heartbeat(Message_t *message, const char *name)
+append_heartbeat(Message_t *message, const char *name)
 {
     const Gossip_t *this = message->owner;
     const Member_t *member = strcmp(name, this->table->self.name->str) == 0
                                  ? &this->table->self
                                  : MemberTable_find(this->table, name);
-    return !member || take_member_fact(message, member, FALSE);
+    return !member || append_member_fact(message, member, FALSE);
 }
 
 static gboolean
-take_upstream_fact(Message_t *message, const char *name)
+append_upstream_fact(Message_t *message, const char *name)
 {
     const Upstream_t *upstream =
         UpstreamSet_find(message->owner->upstreams, name);
@@ -357,7 +366,7 @@
     }
     Wt__UpstreamFact *fact = make_upstream_fact(upstream);
     gsize size = wt__upstream_fact__get_packed_size(fact) + 2;
-    if (!add_fact(message, message->upstreams, fact, size)) {
+    if (!append_if_fits(message, message->upstreams, fact, size)) {
         g_free(fact);
         return FALSE;
     }
@@ -365,24 +374,24 @@
 }
 
 static gboolean
-take_fact(FactKind_t kind, const char *name, void *data)
+append_fact(FactKind_t kind, const char *name, void *data)
 {
-    return kind == FACT_HEARTBEAT ? take_heartbeat(data, name)
-                                  : take_upstream_fact(data, name);
+    return kind == FACT_HEARTBEAT ? append_heartbeat(data, name)
+                                  : append_upstream_fact(data, name);
 }
 
 static Message_t
-begin_message(Gossip_t *this, gsize room)
+begin_message(Gossip_t *this, gsize capacity)
 {
     return (Message_t){
         .owner = this,
-        .room = room - FRAME_OVERHEAD,
+        .capacity = capacity - FRAME_OVERHEAD_BYTES,
         .members = g_ptr_array_new_with_free_func(free_member_fact),
         .upstreams = g_ptr_array_new_with_free_func(g_free),
     };
 }
 
-/* Returns the bytes sent. */
+/* Frees the facts of the message. Returns the bytes sent. */
 static gsize
 send_message(const Gossip_t *this, const Member_t *member,
              const Message_t *message)
@@ -407,74 +416,77 @@
 }
 
 static void
-send_gossip(Gossip_t *this, const Member_t *member, gsize room)
+send_gossip(Gossip_t *this, const Member_t *member, gsize capacity)
 {
-    Message_t message = begin_message(this, room);
-    GossipQueue_fill(this->queue, take_fact, &message);
+    Message_t message = begin_message(this, capacity);
+    GossipQueue_offerFacts(this->queue, append_fact, &message);
     this->budget -= (double)send_message(this, member, &message);
 }
 
 static void
-send_news(Gossip_t *this, Member_t *peer, gboolean fed)
-{
-    gsize room = MIN(MemberNews_allowance(this->news), NEWS_MESSAGE_MAX);
-    const GPtrArray *pending = room >= LEAST_MESSAGE
-                                   ? MemberNews_pending(this->news, peer, fed)
-                                   : NULL;
+send_updates(Gossip_t *this, Member_t *peer, gboolean send_all)
+{
+    gsize capacity =
+        MIN(MemberUpdates_allowance(this->updates), UPDATE_MESSAGE_MAX_BYTES);
+    const GPtrArray *pending =
+        capacity >= MESSAGE_MIN_BYTES
+            ? MemberUpdates_listPending(this->updates, peer, send_all)
+            : NULL;
     if (!pending) {
         return;
     }
-    Message_t message = begin_message(this, room);
+    Message_t message = begin_message(this, capacity);
     for (guint i = 0; i < pending->len; i++) {
         const Member_t *member = g_ptr_array_index(pending, i);
-        if (!take_member_fact(&message, member, TRUE)) {
+        if (!append_member_fact(&message, member, TRUE)) {
             break;
         }
-        MemberNews_told(peer, member, fed);
+        MemberUpdates_noteSent(peer, member, send_all);
     }
-    MemberNews_spend(this->news, send_message(this, peer, &message));
+    MemberUpdates_charge(this->updates, send_message(this, peer, &message));
 }
 
-/* An answer is one message of what is asked for; its size is bounded, and the
- * asker asks again for the rest. */
+/* The reply is a single message of bounded size; the requester queries again
+ * for the remaining routers. */
 void
 Gossip_sendMembers(Gossip_t *this, const Member_t *to,
                    const GPtrArray *members)
 {
-    Message_t message = begin_message(this, ANSWER_MESSAGE_MAX);
+    Message_t message = begin_message(this, REPLY_MESSAGE_MAX_BYTES);
     for (guint i = 0; i < members->len; i++) {
         const Member_t *member = g_ptr_array_index(members, i);
-        if (!take_member_fact(&message, member, TRUE)) {
+        if (!append_member_fact(&message, member, TRUE)) {
             break;
         }
     }
     send_message(this, to, &message);
 }
 
-/* Those that are told of a few routers only come first: they need little, and
- * have nobody else to hear it from. */
+/* Peers at the end of the list, which get only a sample of the routers, are
+ * served first: they need few bytes and have no other source. */
 static void
-send_all_news(Gossip_t *this)
+send_all_updates(Gossip_t *this)
 {
-    MemberNews_grow(this->news, this->settings->gossip_budget, GOSSIP_TICK_MS);
-    const GPtrArray *linked = MemberTable_linked(this->table);
+    MemberUpdates_refillAllowance(this->updates, this->settings->gossip_budget,
+                                  GOSSIP_TICK_MS);
+    const GPtrArray *linked = MemberTable_listLinked(this->table);
     for (guint i = linked->len; i > 0; i--) {
         Member_t *member = g_ptr_array_index(linked, i - 1);
-        send_news(this, member, i <= MEMBER_TABLE_FED);
+        send_updates(this, member, i <= MEMBER_TABLE_UPDATE_PEERS);
     }
 }
 
-/* The budget is a hard limit: what it does not cover now waits. */
+/* Facts that the budget does not cover stay queued for a later tick. */
 static void
-send_to_some(Gossip_t *this)
+send_queued_facts(Gossip_t *this)
 {
     gint64 rate = this->settings->gossip_budget;
     this->budget = MIN(this->budget + (double)rate * GOSSIP_TICK_MS / 1000.0,
                        (double)rate);
-    guint links = MemberTable_links(this->table);
+    guint links = MemberTable_countLinks(this->table);
     gboolean urgent = Gossip_isMesh(this) &&
-                      GossipQueue_has(this->queue, FACT_UPSTREAM_NEWS);
-    guint fanout = urgent ? links : MIN(FANOUT, links);
+                      GossipQueue_hasKind(this->queue, FACT_UPSTREAM_UPDATE);
+    guint fanout = urgent ? links : MIN(FANOUT_PEERS, links);
     guint start =
         this->table->live->len > 0 ? Random_below(this->table->live->len) : 0;
     guint sent = 0;
@@ -485,15 +497,16 @@
             continue;
         }
         sent++;
-        if (this->budget >= LEAST_MESSAGE) {
+        if (this->budget >= MESSAGE_MIN_BYTES) {
             send_gossip(this, member, (gsize)this->budget);
         }
     }
 }
 
-/* Load is the least urgent; each tick offers what answers have reported. */
+/* Queues the load of upstreams that responses have reported since the last
+ * tick. */
 static void
-offer_loads(Gossip_t *this, gint64 now_ms)
+queue_load_reports(Gossip_t *this, gint64 now_ms)
 {
     const GPtrArray *upstreams = UpstreamSet_all(this->upstreams);
     for (guint i = 0; i < upstreams->len; i++) {
@@ -508,7 +521,7 @@
 void
 Gossip_tick(Gossip_t *this)
 {
-    offer_loads(this, Clock_nowMs());
-    send_all_news(this);
-    send_to_some(this);
+    queue_load_reports(this, Clock_nowMs());
+    send_all_updates(this);
+    send_queued_facts(this);
 }
--- a/src/Gossip.h
+++ b/src/Gossip.h
@@ -3,10 +3,11 @@
 /**
  * DOC: Gossip
  *
- * Facts between routers: members, upstreams' incarnations, leaving, weights
- * and load, configuration offsets. Each tick a few linked peers get what is
- * most urgent, under a byte budget that is a hard limit. News of routers goes
- * over each link once (MemberNews.h), under an allowance of its own.
+ * Exchanges facts between routers: members, configuration offsets, and the
+ * incarnation, leaving, weights and load of upstreams. Each tick sends the
+ * most urgent facts to a few linked peers under a byte budget, which is a hard
+ * limit. Updates about routers are sent once over each link (MemberUpdates.h),
+ * under an allowance of their own.
  */
 #include <glib.h>
 
@@ -16,51 +17,54 @@
 #include "Settings.h"
 #include "UpstreamSet.h"
 
-/** How often Gossip_tick() is to be called */
+/** Interval of Gossip_tick() */
 #define GOSSIP_TICK_MS 100
 
 /** struct Gossip_t - opaque */
 typedef struct Gossip Gossip_t;
 
 /**
- * Gossip_create() - nothing to tell yet
- * @table: of routers
- * @upstreams: learns from gossip, and is read for it
- * @counters: for bytes sent
- * @settings: the budget, and up to how many routers all are linked
+ * Gossip_create() - create the gossip of this router, with no facts queued
+ * @table: known routers
+ * @upstreams: updated from received facts, and read for those that are sent
+ * @counters: counts the bytes sent
+ * @settings: byte budget, and number of routers up to which all link with all
  */
 Gossip_t *Gossip_create(MemberTable_t *table, UpstreamSet_t *upstreams,
                         Counters_t *counters, const PeersSection_t *settings);
 
-/** Gossip_destroy() - free it */
+/** Gossip_destroy() - free the gossip; the table and upstreams remain */
 void Gossip_destroy(Gossip_t *this);
 
-/** Gossip_spreadUpstream() - an upstream has news for all */
+/** Gossip_spreadUpstream() - queue the state of an upstream for all routers */
 void Gossip_spreadUpstream(Gossip_t *this, const char *name);
 
-/** Gossip_spreadMember() - a router of the table has news for all */
+/** Gossip_spreadMember() - queue the state of a router in the table, or of
+ * this router, for all routers */
 void Gossip_spreadMember(Gossip_t *this, Member_t *member);
 
-/** Gossip_isMesh() - few enough routers to link all with all */
+/** Gossip_isMesh() - whether there are few enough routers to link all with all
+ */
 gboolean Gossip_isMesh(const Gossip_t *this);
 
-/** Gossip_heartbeat() - this router is alive */
-void Gossip_heartbeat(Gossip_t *this);
+/** Gossip_spreadHeartbeat() - increment and queue this router's heartbeat */
+void Gossip_spreadHeartbeat(Gossip_t *this);
 
-/** Gossip_introduce() - a new link to a router learns of all, within the
- * budget */
-void Gossip_introduce(Gossip_t *this, Member_t *member);
+/** Gossip_syncPeer() - send the current state to a peer that just connected,
+ * within the budget */
+void Gossip_syncPeer(Gossip_t *this, Member_t *member);
 
-/** Gossip_sendMembers() - answer who asked for routers: Member_t * of the
- * table
+/**
+ * Gossip_sendMembers() - reply to a peer's query for routers
+ * @members: Member_t * of the table
  */
 void Gossip_sendMembers(Gossip_t *this, const Member_t *to,
                         const GPtrArray *members);
 
-/** Gossip_take() - facts came */
-void Gossip_take(Gossip_t *this, const Wt__Gossip *message);
+/** Gossip_receive() - apply the facts of a received message */
+void Gossip_receive(Gossip_t *this, const Wt__Gossip *message);
 
-/** Gossip_tick() - send what the budget allows */
+/** Gossip_tick() - send queued facts and updates within the budget */
 void Gossip_tick(Gossip_t *this);
 
 #endif
--- a/src/GossipQueue.c
+++ b/src/GossipQueue.c
@@ -6,7 +6,7 @@
 } Fact_t;
 
 struct GossipQueue {
-    GQueue facts[FACT_KIND_COUNT];        /* Fact_t, in turn */
+    GQueue facts[FACT_KIND_COUNT];        /* Fact_t, in sending order */
     GHashTable *by_name[FACT_KIND_COUNT]; /* name -> Fact_t */
 };
 
@@ -65,13 +65,13 @@
 }
 
 void
-GossipQueue_fill(GossipQueue_t *this, GossipTake_t take, void *data)
+GossipQueue_offerFacts(GossipQueue_t *this, GossipOffer_t offer, void *data)
 {
     for (int kind = 0; kind < FACT_KIND_COUNT; kind++) {
-        guint left = g_queue_get_length(&this->facts[kind]);
-        for (; left > 0; left--) {
+        guint remaining = g_queue_get_length(&this->facts[kind]);
+        for (; remaining > 0; remaining--) {
             Fact_t *fact = g_queue_pop_head(&this->facts[kind]);
-            if (!take((FactKind_t)kind, fact->name, data)) {
+            if (!offer((FactKind_t)kind, fact->name, data)) {
                 g_queue_push_head(&this->facts[kind], fact);
                 return;
             }
@@ -81,7 +81,7 @@
 }
 
 gboolean
-GossipQueue_has(const GossipQueue_t *this, FactKind_t kind)
+GossipQueue_hasKind(const GossipQueue_t *this, FactKind_t kind)
 {
     return !g_queue_is_empty((GQueue *)&this->facts[kind]);
 }
--- a/src/GossipQueue.h
+++ b/src/GossipQueue.h
@@ -3,21 +3,21 @@
 /**
  * DOC: GossipQueue
  *
- * Which facts have news that others may not know, the most urgent first.
- * A fact is named only; its content is read when it is sent, so that a newer
- * one replaces an older one by itself. Each is sent a few times, which with
- * high probability brings it to every router.
+ * Queue of facts that other routers may not know yet, the most urgent kind
+ * first. An entry holds only the name of a fact; the content is read when the
+ * fact is sent, so that a message always carries the newest state. Each fact
+ * is sent a few times, which brings it to every router with high probability.
  */
 #include <glib.h>
 
 /**
  * enum FactKind_t - kinds of facts, the most urgent first
- * @FACT_UPSTREAM_NEWS: an upstream's incarnation or leaving
- * @FACT_HEARTBEAT: a router is alive
- * @FACT_UPSTREAM_LOAD: an upstream's load
+ * @FACT_UPSTREAM_UPDATE: an upstream's incarnation, weights, pause or leaving
+ * @FACT_HEARTBEAT: heartbeat of a router
+ * @FACT_UPSTREAM_LOAD: load of an upstream
  */
 typedef enum {
-    FACT_UPSTREAM_NEWS,
+    FACT_UPSTREAM_UPDATE,
     FACT_HEARTBEAT,
     FACT_UPSTREAM_LOAD,
     FACT_KIND_COUNT,
@@ -26,39 +26,41 @@
 /** struct GossipQueue_t - opaque */
 typedef struct GossipQueue GossipQueue_t;
 
-/** GossipQueue_create() - an empty queue */
+/** GossipQueue_create() - create an empty queue */
 GossipQueue_t *GossipQueue_create(void);
 
-/** GossipQueue_destroy() - free it */
+/** GossipQueue_destroy() - free the queue and its entries */
 void GossipQueue_destroy(GossipQueue_t *this);
 
 /**
- * GossipQueue_add() - a fact has news
- * @name: of the router or upstream
- * @sends: how often it is to be sent
+ * GossipQueue_add() - queue a fact, or raise its number of sends if queued
+ * @name: name of the router or upstream
+ * @sends: number of messages that the fact is to be sent in
  */
 void GossipQueue_add(GossipQueue_t *this, FactKind_t kind, const char *name,
                      guint sends);
 
 /**
- * GossipTake_t - offers a fact for a message
+ * GossipOffer_t - adds a fact to a message
  *
- * Return: FALSE where it does not fit any more
+ * Return: FALSE if the fact does not fit into the message
  */
-typedef gboolean (*GossipTake_t)(FactKind_t kind, const char *name,
-                                 void *data);
+typedef gboolean (*GossipOffer_t)(FactKind_t kind, const char *name,
+                                  void *data);
 
 /**
- * GossipQueue_fill() - offer facts until one does not fit
+ * GossipQueue_offerFacts() - offer queued facts until one does not fit
  *
- * Those taken count as sent once more.
+ * Each accepted fact counts as sent once, and leaves the queue after its last
+ * send.
  */
-void GossipQueue_fill(GossipQueue_t *this, GossipTake_t take, void *data);
+void GossipQueue_offerFacts(GossipQueue_t *this, GossipOffer_t offer,
+                            void *data);
 
-/** GossipQueue_has() - whether facts of a kind wait */
-gboolean GossipQueue_has(const GossipQueue_t *this, FactKind_t kind);
+/** GossipQueue_hasKind() - whether facts of a kind are queued */
+gboolean GossipQueue_hasKind(const GossipQueue_t *this, FactKind_t kind);
 
-/** GossipQueue_length() - facts that wait */
+/** GossipQueue_length() - number of queued facts */
 guint GossipQueue_length(const GossipQueue_t *this);
 
 #endif
--- a/src/HintFlood.c
+++ b/src/HintFlood.c
@@ -35,7 +35,7 @@
     body.hints = list;
     message.body_case = WT__PEER_MESSAGE__BODY_HINTS;
     message.hints = &body;
-    Membership_sendAll(this->membership, &message);
+    Membership_broadcast(this->membership, &message);
     g_free(list);
     g_free(hints);
 }
--- a/src/InstanceList.c
+++ b/src/InstanceList.c
@@ -28,7 +28,7 @@
         Log_text("upstream", upstream->name->str);
         Log_text("source", "instance_list");
         Log_end();
-        Membership_noteUpstream(this->membership, upstream->name->str);
+        Membership_spreadUpstream(this->membership, upstream->name->str);
     }
 }
 
@@ -59,7 +59,7 @@
     }
     guint64 incarnation = (guint64)Json_integer(entry, "incarnation", 0);
     if (Upstream_noteIncarnation(upstream, incarnation, Clock_nowMs())) {
-        Membership_noteUpstream(this->membership, name);
+        Membership_spreadUpstream(this->membership, name);
     }
     if (strcmp(state, "leaving") == 0) {
         note_leaving(this, upstream, incarnation);
--- a/src/ListExchange.c
+++ b/src/ListExchange.c
@@ -93,7 +93,8 @@
     if (is_local(this, peer) || waited_ms >= REMOTE_DELAY_MS) {
         return TRUE;
     }
-    return Membership_rank(membership, RANK_KEY, Membership_hall(membership)) <
+    return Membership_localRank(membership, RANK_KEY,
+                                Membership_hall(membership)) <
            REMOTE_READERS_MAX;
 }
 
@@ -219,8 +220,8 @@
         this->ranked_ms = now_ms;
     }
     const Membership_t *membership = this->spec.membership;
-    guint rank =
-        Membership_rank(membership, RANK_KEY, Membership_hall(membership));
+    guint rank = Membership_localRank(membership, RANK_KEY,
+                                      Membership_hall(membership));
     gint64 rank_due_ms = this->ranked_ms + (gint64)rank * READER_STEP_MS;
     gint64 due_ms = MAX(rank_due_ms, this->received_ms + ANSWER_TIMEOUT_MS);
     return MAX(due_ms - now_ms, 0);
--- a/src/LoadShare.c
+++ b/src/LoadShare.c
@@ -162,7 +162,7 @@
 {
     return upstream->in_flight > 0 || upstream->pending_tokens > 0 ||
            upstream->memory.unsent_tokens > 0 ||
-           Link_ownUs(&upstream->link, now_us) > 0;
+           TransferLink_localUs(&upstream->link, now_us) > 0;
 }
 
 static GPtrArray *
@@ -187,7 +187,7 @@
     load->upstream = upstream->hash;
     load->tokens = (guint32)MAX(upstream->pending_tokens, 0);
     load->requests = upstream->in_flight;
-    load->link_us = (guint32)Link_ownUs(&upstream->link, now_us);
+    load->link_us = (guint32)TransferLink_localUs(&upstream->link, now_us);
     load->taken_tokens = upstream->memory.unsent_tokens;
     upstream->memory.unsent_tokens = 0;
 }
@@ -229,7 +229,7 @@
         (guint32)CacheStore_localUs(this->spec.store, now_us);
     frame.body_case = WT__PEER_MESSAGE__BODY_LOADS;
     frame.loads = &message;
-    Membership_sendAll(this->spec.membership, &frame);
+    Membership_broadcast(this->spec.membership, &frame);
     g_array_set_size(this->reads, 0);
 }
 
--- a/src/ManagedEngine.c
+++ b/src/ManagedEngine.c
@@ -113,8 +113,8 @@
 static void
 gossip_upstream(const ManagedEngine_t *this)
 {
-    Membership_noteUpstream(this->sender->membership,
-                            this->upstream->name->str);
+    Membership_spreadUpstream(this->sender->membership,
+                              this->upstream->name->str);
 }
 
 static void
--- a/src/MemberTable.c
+++ b/src/MemberTable.c
@@ -6,14 +6,14 @@
 #include "Clock.h"
 #include "Log.h"
 
-/* Routers up to which each is named as it joins. */
-#define MEMBERS_NAMED 64
+/* Number of routers up to which each join is logged with its name. */
+#define JOINS_LOGGED_BY_NAME_MAX 64
 
-/* Of those that are told all news, so many are of the own hall where there
- * are as many: a message between halls costs more than one within a hall. */
-#define FED_OF_HALL 5
+/* Number of update peers in the local hall, if it has as many: a message
+ * between halls costs more than one within a hall. */
+#define LOCAL_HALL_UPDATE_PEERS 5
 
-/* A router by its place in a key's order; NULL for this one. */
+/* A router with its weight for a key; member is NULL for this router. */
 typedef struct {
     guint64 weight;
     const Member_t *member;
@@ -40,7 +40,7 @@
 }
 
 static void
-list_live(MemberTable_t *this)
+rebuild_live(MemberTable_t *this)
 {
     GHashTableIter iter;
     gpointer member = NULL;
@@ -83,8 +83,8 @@
     return g_hash_table_lookup(this->by_name, name);
 }
 
-/* In the order of names; to sort all for each of 1,000 that join at once takes
- * a small machine seconds. */
+/* Inserts in the order of names; sorting the whole list for each of 1,000
+ * routers that join at once takes a small machine seconds. */
 static void
 add_live(MemberTable_t *this, Member_t *member)
 {
@@ -103,13 +103,13 @@
     g_ptr_array_insert(this->live, (gint)first, member);
 }
 
-/* Where there are many they are counted, or a start would be a line for each
- * pair of routers. */
+/* Counts joins above the limit, as otherwise the start of a large fleet would
+ * log a line for each pair of routers. */
 static void
 log_joined(MemberTable_t *this, const char *name)
 {
-    if (this->live->len > MEMBERS_NAMED) {
-        this->unnamed++;
+    if (this->live->len > JOINS_LOGGED_BY_NAME_MAX) {
+        this->unlogged_joins++;
         return;
     }
     Log_begin(LOG_LEVEL_INFO, "member_joined");
@@ -119,20 +119,20 @@
 }
 
 void
-MemberTable_logUnnamed(MemberTable_t *this)
+MemberTable_logJoinedCount(MemberTable_t *this)
 {
-    if (this->unnamed == 0) {
+    if (this->unlogged_joins == 0) {
         return;
     }
     Log_begin(LOG_LEVEL_INFO, "members_joined");
-    Log_number("joined", this->unnamed);
+    Log_number("joined", this->unlogged_joins);
     Log_number("members", this->live->len);
     Log_end();
-    this->unnamed = 0;
+    this->unlogged_joins = 0;
 }
 
 Member_t *
-MemberTable_findOrMake(MemberTable_t *this, const char *name)
+MemberTable_findOrCreate(MemberTable_t *this, const char *name)
 {
     Member_t *member = g_hash_table_lookup(this->by_name, name);
     if (member) {
@@ -141,7 +141,7 @@
     member = g_new0(Member_t, 1);
     member->name = g_string_new(name);
     member->hall = g_string_new(NULL);
-    member->heard_ms = Clock_nowMs();
+    member->last_seen_ms = Clock_nowMs();
     g_hash_table_insert(this->by_name, member->name->str, member);
     add_live(this, member);
     log_joined(this, name);
@@ -161,10 +161,10 @@
 }
 
 static gboolean
-is_gone(gpointer name, gpointer value, gpointer before)
+is_silent(gpointer name, gpointer value, gpointer limit_ms)
 {
     const Member_t *member = value;
-    if (member->heard_ms > *(gint64 *)before) {
+    if (member->last_seen_ms > *(gint64 *)limit_ms) {
         return FALSE;
     }
     Log_begin(LOG_LEVEL_WARNING, "member_gone");
@@ -177,94 +177,99 @@
 MemberTable_expire(MemberTable_t *this, gint64 silence_ms)
 {
     gint64 before_ms = Clock_nowMs() - silence_ms;
-    if (g_hash_table_foreach_remove(this->by_name, is_gone, &before_ms) > 0) {
-        list_live(this);
+    if (g_hash_table_foreach_remove(this->by_name, is_silent, &before_ms) >
+        0) {
+        rebuild_live(this);
     }
 }
 
 static guint
-own_place(const MemberTable_t *this)
+find_self_index(const MemberTable_t *this)
 {
-    guint place = 0;
-    while (place < this->live->len) {
-        const Member_t *member = g_ptr_array_index(this->live, place);
+    guint index = 0;
+    while (index < this->live->len) {
+        const Member_t *member = g_ptr_array_index(this->live, index);
         if (strcmp(member->name->str, this->self.name->str) > 0) {
             break;
         }
-        place++;
+        index++;
     }
-    return place;
+    return index;
 }
 
 gboolean
-MemberTable_isOfHall(const MemberTable_t *this, const Member_t *member)
+MemberTable_isInLocalHall(const MemberTable_t *this, const Member_t *member)
 {
     return g_string_equal(member->hall, this->self.hall);
 }
 
-/* Linked ones from a place on, of the own hall or of others. */
+/* Adds linked routers of one direction, starting at an index. */
 static void
-add_those(const MemberTable_t *this, guint place, gboolean of_hall,
-          gboolean asked)
+add_linked_by_direction(const MemberTable_t *this, guint index,
+                        gboolean in_local_hall, gboolean is_incoming)
 {
     for (guint i = 0; i < this->live->len; i++) {
         Member_t *member =
-            g_ptr_array_index(this->live, (place + i) % this->live->len);
-        if (member->link && member->asked == asked &&
-            MemberTable_isOfHall(this, member) == of_hall) {
+            g_ptr_array_index(this->live, (index + i) % this->live->len);
+        if (member->link && member->is_incoming == is_incoming &&
+            MemberTable_isInLocalHall(this, member) == in_local_hall) {
             g_ptr_array_add(this->linked, member);
         }
     }
 }
 
-/* By name alone, one router in 60 was at times told news by none of the six
- * that it had linked, and knew half of the others. */
+/* Adds linked routers, incoming links first. If the name alone decided, a
+ * router could be sent updates by none of the routers that it linked to, and
+ * know only half of the others. */
 static void
-add_linked(const MemberTable_t *this, guint place, gboolean of_hall)
+add_linked(const MemberTable_t *this, guint index, gboolean in_local_hall)
 {
-    add_those(this, place, of_hall, TRUE);
-    add_those(this, place, of_hall, FALSE);
+    add_linked_by_direction(this, index, in_local_hall, TRUE);
+    add_linked_by_direction(this, index, in_local_hall, FALSE);
 }
 
-/* The first of other halls come before the last of the own one. */
+/* Swaps the first routers of other halls with the last update peers of the
+ * local hall, so that updates reach other halls as well. */
 static void
-mix_halls(const MemberTable_t *this, guint of_hall)
+swap_in_remote_peers(const MemberTable_t *this, guint local_count)
 {
     gpointer *list = this->linked->pdata;
-    guint far = this->linked->len - of_hall;
-    guint swapped = MIN(far, MEMBER_TABLE_FED - FED_OF_HALL);
-    for (guint i = 0; i < swapped && FED_OF_HALL + i < of_hall; i++) {
-        gpointer held = list[FED_OF_HALL + i];
-        list[FED_OF_HALL + i] = list[of_hall + i];
-        list[of_hall + i] = held;
+    guint remote_count = this->linked->len - local_count;
+    guint swap_count =
+        MIN(remote_count, MEMBER_TABLE_UPDATE_PEERS - LOCAL_HALL_UPDATE_PEERS);
+    for (guint i = 0;
+         i < swap_count && LOCAL_HALL_UPDATE_PEERS + i < local_count; i++) {
+        gpointer member = list[LOCAL_HALL_UPDATE_PEERS + i];
+        list[LOCAL_HALL_UPDATE_PEERS + i] = list[local_count + i];
+        list[local_count + i] = member;
     }
 }
 
 const GPtrArray *
-MemberTable_linked(MemberTable_t *this)
+MemberTable_listLinked(MemberTable_t *this)
 {
-    guint place = own_place(this);
+    guint index = find_self_index(this);
     g_ptr_array_set_size(this->linked, 0);
-    add_linked(this, place, TRUE);
-    guint of_hall = this->linked->len;
-    add_linked(this, place, FALSE);
-    mix_halls(this, of_hall);
+    add_linked(this, index, TRUE);
+    guint local_count = this->linked->len;
+    add_linked(this, index, FALSE);
+    swap_in_remote_peers(this, local_count);
     return this->linked;
 }
 
 guint
-MemberTable_placed(const MemberTable_t *this)
+MemberTable_countAddressed(const MemberTable_t *this)
 {
-    guint placed = 0;
+    guint addressed = 0;
     for (guint i = 0; i < this->live->len; i++) {
         const Member_t *member = g_ptr_array_index(this->live, i);
-        placed += member->address.port != 0 ? 1 : 0;
+        addressed += member->address.port != 0 ? 1 : 0;
     }
-    return placed;
+    return addressed;
 }
 
 guint
-MemberTable_links(const MemberTable_t *this)
+MemberTable_countLinks(const MemberTable_t *this)
 {
     guint links = 0;
     for (guint i = 0; i < this->live->len; i++) {
@@ -275,7 +280,7 @@
 }
 
 guint
-MemberTable_liveCount(const MemberTable_t *this)
+MemberTable_countActive(const MemberTable_t *this)
 {
     guint count = this->self.leaving ? 0 : 1;
     for (guint i = 0; i < this->live->len; i++) {
@@ -286,25 +291,26 @@
 }
 
 static guint64
-weight_of(const Member_t *member, const char *key)
+rendezvous_weight(const Member_t *member, const char *key)
 {
     guint64 seed = XXH3_64bits(key, strlen(key));
     return XXH3_64bits_withSeed(member->name->str, member->name->len, seed);
 }
 
 static Member_t *
-first_of(const MemberTable_t *this, const char *key, gint64 now_ms)
+find_highest_weight(const MemberTable_t *this, const char *key, gint64 now_ms)
 {
     Member_t *best = NULL;
-    guint64 most = this->self.leaving ? 0 : weight_of(&this->self, key);
+    guint64 highest =
+        this->self.leaving ? 0 : rendezvous_weight(&this->self, key);
     for (guint i = 0; i < this->live->len; i++) {
         Member_t *member = g_ptr_array_index(this->live, i);
-        if (member->leaving || member->unanswered_until_ms > now_ms) {
+        if (member->leaving || member->unreachable_until_ms > now_ms) {
             continue;
         }
-        guint64 weight = weight_of(member, key);
-        if (weight > most) {
-            most = weight;
+        guint64 weight = rendezvous_weight(member, key);
+        if (weight > highest) {
+            highest = weight;
             best = member;
         }
     }
@@ -312,50 +318,52 @@
 }
 
 Member_t *
-MemberTable_owner(const MemberTable_t *this, const char *key)
+MemberTable_findOwner(const MemberTable_t *this, const char *key)
 {
-    return first_of(this, key, G_MAXINT64);
+    return find_highest_weight(this, key, G_MAXINT64);
 }
 
 Member_t *
-MemberTable_answering(const MemberTable_t *this, const char *key,
-                      gint64 now_ms)
+MemberTable_findReachableOwner(const MemberTable_t *this, const char *key,
+                               gint64 now_ms)
 {
-    return first_of(this, key, now_ms);
+    return find_highest_weight(this, key, now_ms);
 }
 
-/* Keeps the order; the last one falls out where there is no room. */
+/* Inserts in descending order of weight; drops the last entry if the list is
+ * full. */
 static guint
-insert_ranked(Ranked_t *list, guint count, guint most, Ranked_t entry)
+insert_ranked(Ranked_t *list, guint count, guint max, Ranked_t entry)
 {
-    guint at = count;
-    while (at > 0 && list[at - 1].weight < entry.weight) {
-        at--;
+    guint position = count;
+    while (position > 0 && list[position - 1].weight < entry.weight) {
+        position--;
     }
-    if (at == most) {
+    if (position == max) {
         return count;
     }
-    guint kept = MIN(count, most - 1);
-    memmove(&list[at + 1], &list[at], (kept - at) * sizeof(*list));
-    list[at] = entry;
-    return kept + 1;
+    guint retained = MIN(count, max - 1);
+    memmove(&list[position + 1], &list[position],
+            (retained - position) * sizeof(*list));
+    list[position] = entry;
+    return retained + 1;
 }
 
 guint
-MemberTable_first(const MemberTable_t *this, const char *key,
-                  const Member_t **out, guint most)
+MemberTable_findFirst(const MemberTable_t *this, const char *key,
+                      const Member_t **out, guint max)
 {
-    Ranked_t *list = g_newa(Ranked_t, most);
+    Ranked_t *list = g_newa(Ranked_t, max);
     guint count = 0;
     if (!this->self.leaving) {
-        Ranked_t own = {weight_of(&this->self, key), NULL};
-        count = insert_ranked(list, count, most, own);
+        Ranked_t self = {rendezvous_weight(&this->self, key), NULL};
+        count = insert_ranked(list, count, max, self);
     }
     for (guint i = 0; i < this->live->len; i++) {
         const Member_t *member = g_ptr_array_index(this->live, i);
-        Ranked_t entry = {weight_of(member, key), member};
+        Ranked_t entry = {rendezvous_weight(member, key), member};
         if (!member->leaving) {
-            count = insert_ranked(list, count, most, entry);
+            count = insert_ranked(list, count, max, entry);
         }
     }
     for (guint i = 0; i < count; i++) {
@@ -365,14 +373,15 @@
 }
 
 guint
-MemberTable_rank(const MemberTable_t *this, const char *key, const char *hall)
+MemberTable_localRank(const MemberTable_t *this, const char *key,
+                      const char *hall)
 {
     guint rank = 0;
-    guint64 own = weight_of(&this->self, key);
+    guint64 self_weight = rendezvous_weight(&this->self, key);
     for (guint i = 0; i < this->live->len; i++) {
         const Member_t *member = g_ptr_array_index(this->live, i);
         if ((!hall || strcmp(member->hall->str, hall) == 0) &&
-            !member->leaving && weight_of(member, key) > own) {
+            !member->leaving && rendezvous_weight(member, key) > self_weight) {
             rank++;
         }
     }
--- a/src/MemberTable.h
+++ b/src/MemberTable.h
@@ -3,8 +3,8 @@
 /**
  * DOC: MemberTable
  *
- * This router and all others that are alive, as far as is known, and the
- * order in which rendezvous hashing puts them for a key.
+ * Holds this router and all other routers that are believed to be alive, and
+ * ranks them for a key by rendezvous hashing.
  */
 #include <glib.h>
 
@@ -13,135 +13,145 @@
 
 /**
  * struct Member_t - one router
- * @name: its name
- * @incarnation: newest that was heard of
- * @address: where it listens for peers
- * @hall: where it stands
- * @placed_incarnation: whose address and hall these are; 0 for none yet
- * @heartbeat: newest that was heard of
- * @heard_ms: when @heartbeat last grew
- * @leaving: it stops; never taken back for an incarnation
- * @fold_offset: configuration in force there
- * @news: place of its newest news among those of all, 0 for none
- * (MemberNews.h)
- * @told: news up to this place were sent over @link
- * @sampled: routers that were told of over @link without telling it all
+ * @name: unique name of the router
+ * @incarnation: newest known incarnation
+ * @address: address on which the router listens for peers
+ * @hall: hall of the router
+ * @address_incarnation: incarnation that @address and @hall belong to; 0 if
+ *     they are not known yet
+ * @heartbeat: newest known heartbeat
+ * @last_seen_ms: time when a newer fact of the router was last received,
+ *     monotonic
+ * @leaving: the router is stopping; final for an incarnation
+ * @fold_offset: fold offset of the configuration in force at the router
+ * @update_seq: sequence number of the router's newest update, 0 for none
+ *     (MemberUpdates.h)
+ * @sent_seq: updates up to this sequence number were sent over @link
+ * @sampled_count: routers sent over @link as a sample
  * @link: open link, or NULL
- * @asked: it made @link, and needs what this router tells
- * @unanswered_until_ms: it did not answer a datagram; it is sent none before
+ * @is_incoming: the router opened @link, and depends on updates from this one
+ * @unreachable_until_ms: the router did not answer a datagram, and is sent
+ * none before this time, monotonic
  */
 typedef struct {
     GString *name;
     guint64 incarnation;
     Address_t address;
     GString *hall;
-    guint64 placed_incarnation;
+    guint64 address_incarnation;
     guint64 heartbeat;
-    gint64 heard_ms;
+    gint64 last_seen_ms;
     gboolean leaving;
     guint64 fold_offset;
-    guint64 news;
-    guint64 told;
-    guint sampled;
+    guint64 update_seq;
+    guint64 sent_seq;
+    guint sampled_count;
     PeerLink_t *link;
-    gboolean asked;
-    gint64 unanswered_until_ms;
+    gboolean is_incoming;
+    gint64 unreachable_until_ms;
 } Member_t;
 
 /**
- * struct MemberTable_t - the routers
- * @self: this one
- * @by_name: name to Member_t of all others
- * @live: the same, Member_t by name
- * @linked: scratch of MemberTable_linked()
- * @unnamed: that have joined since the last line of counts
+ * struct MemberTable_t - all known routers
+ * @self: this router
+ * @by_name: maps a name to Member_t, for all other routers
+ * @live: the same routers, Member_t sorted by name
+ * @linked: result of MemberTable_listLinked()
+ * @unlogged_joins: routers that joined since the last log line with a count
  */
 typedef struct {
     Member_t self;
     GHashTable *by_name;
     GPtrArray *live;
     GPtrArray *linked;
-    guint unnamed;
+    guint unlogged_joins;
 } MemberTable_t;
 
-/** MemberTable_create() - only this router */
+/** MemberTable_create() - create a table that holds only this router */
 MemberTable_t *MemberTable_create(const char *name, const char *hall,
                                   guint64 incarnation);
 
-/** MemberTable_destroy() - close all links and free it */
+/** MemberTable_destroy() - close all links and free the table */
 void MemberTable_destroy(MemberTable_t *this);
 
-/** MemberTable_find() - another router, or NULL */
+/** MemberTable_find() - find another router; NULL if unknown */
 Member_t *MemberTable_find(const MemberTable_t *this, const char *name);
 
-/** MemberTable_findOrMake() - another router, new where it was unknown */
-Member_t *MemberTable_findOrMake(MemberTable_t *this, const char *name);
+/** MemberTable_findOrCreate() - find another router, or add it if unknown */
+Member_t *MemberTable_findOrCreate(MemberTable_t *this, const char *name);
 
-/** MemberTable_findLink() - whose link it is, or NULL */
+/** MemberTable_findLink() - find the router that a link belongs to, or NULL */
 Member_t *MemberTable_findLink(const MemberTable_t *this,
                                const PeerLink_t *link);
 
-/** MemberTable_logUnnamed() - one line for the routers that have joined beyond
- * those that are named in lines of their own */
-void MemberTable_logUnnamed(MemberTable_t *this);
+/** MemberTable_logJoinedCount() - log the number of routers that joined
+ * without a log line of their own */
+void MemberTable_logJoinedCount(MemberTable_t *this);
 
-/** MemberTable_expire() - forget who was not heard of for so long */
+/** MemberTable_expire() - remove routers not seen for @silence_ms */
 void MemberTable_expire(MemberTable_t *this, gint64 silence_ms);
 
-/** MEMBER_TABLE_FED - linked routers that are told all news where not all are
- * linked with all: two more than a router makes links, so that each is told by
- * several others. With 16 the allowance for a start was spent when 234 of 295
- * routers were known */
-#define MEMBER_TABLE_FED 8
+/** Number of linked routers that are sent all updates when not all routers are
+ * linked with each other: two more than the links that a router opens, so that
+ * each router gets the updates from several others. Twice as many use up the
+ * allowance of a start before all routers are known */
+#define MEMBER_TABLE_UPDATE_PEERS 8
 
 /**
- * MemberTable_linked() - the linked routers, those that are told all news
- * first
+ * MemberTable_listLinked() - list the linked routers, those that are sent all
+ * updates first
  *
- * Some of these are of this router's hall as far as there are any, and some
- * of others, so that news crosses between halls over few links. In either
- * part those that made the link come first: each router makes some, so that
- * none is left without news. In the order of names from this router on, they
- * stay the same while links do.
+ * The first MEMBER_TABLE_UPDATE_PEERS routers are partly of the local hall, as
+ * far as there are any, and partly of other halls, so that updates cross
+ * between halls over few links. In either part, peers that opened the link
+ * come first: each router opens some links, so that none is left without
+ * updates. Within that, the order is by name, starting after this router's
+ * name, so that it is stable while the links are.
  *
  * Return: Member_t *, valid until the next call
  */
-const GPtrArray *MemberTable_linked(MemberTable_t *this);
+const GPtrArray *MemberTable_listLinked(MemberTable_t *this);
 
-/** MemberTable_isOfHall() - whether a router stands in this one's hall */
-gboolean MemberTable_isOfHall(const MemberTable_t *this,
-                              const Member_t *member);
+/** MemberTable_isInLocalHall() - whether a router is in this router's hall */
+gboolean MemberTable_isInLocalHall(const MemberTable_t *this,
+                                   const Member_t *member);
 
-/** MemberTable_placed() - others of which it is known where they listen */
-guint MemberTable_placed(const MemberTable_t *this);
+/** MemberTable_countAddressed() - number of other routers whose address is
+ * known */
+guint MemberTable_countAddressed(const MemberTable_t *this);
 
-/** MemberTable_links() - open links */
-guint MemberTable_links(const MemberTable_t *this);
+/** MemberTable_countLinks() - number of open links */
+guint MemberTable_countLinks(const MemberTable_t *this);
 
-/** MemberTable_liveCount() - routers that are not leaving, this one included
- */
-guint MemberTable_liveCount(const MemberTable_t *this);
+/** MemberTable_countActive() - number of routers that are not leaving, with
+ * this one; at least 1 */
+guint MemberTable_countActive(const MemberTable_t *this);
 
-/** MemberTable_owner() - the first in a key's order; NULL for this router */
-Member_t *MemberTable_owner(const MemberTable_t *this, const char *key);
+/** MemberTable_findOwner() - find the router ranked first for a key; NULL for
+ * this router */
+Member_t *MemberTable_findOwner(const MemberTable_t *this, const char *key);
 
-/** MemberTable_answering() - the same among those that answer datagrams */
-Member_t *MemberTable_answering(const MemberTable_t *this, const char *key,
-                                gint64 now_ms);
+/** MemberTable_findReachableOwner() - find the router ranked first for a key
+ * among those that answer datagrams; NULL for this router */
+Member_t *MemberTable_findReachableOwner(const MemberTable_t *this,
+                                         const char *key, gint64 now_ms);
 
 /**
- * MemberTable_first() - the first in a key's order
- * @out: of the routers that are not leaving; NULL for this one
- * @most: that @out has room for
+ * MemberTable_findFirst() - find the routers ranked first for a key
+ * @out: set to the routers in order, without those that are leaving; NULL
+ * stands for this router
+ * @max: capacity of @out
  *
- * Return: how many
+ * Return: number of routers in @out
  */
-guint MemberTable_first(const MemberTable_t *this, const char *key,
-                        const Member_t **out, guint most);
+guint MemberTable_findFirst(const MemberTable_t *this, const char *key,
+                            const Member_t **out, guint max);
 
-/** MemberTable_rank() - this router's place in a key's order, of a hall or
- * of all */
-guint MemberTable_rank(const MemberTable_t *this, const char *key,
-                       const char *hall);
+/**
+ * MemberTable_localRank() - this router's rank for a key, from 0
+ * @hall: rank among the routers of this hall only; NULL for all
+ */
+guint MemberTable_localRank(const MemberTable_t *this, const char *key,
+                            const char *hall);
 
 #endif
--- a/src/Membership.c
+++ b/src/Membership.c
@@ -8,41 +8,45 @@
 #include "Clock.h"
 #include "Errors.h"
 #include "Gossip.h"
-#include "MemberAsks.h"
+#include "MemberQueries.h"
 #include "Random.h"
 
 #define HEARTBEAT_MS 1000
 #define SEED_RETRY_MS 1000
-/* A router that was not heard of for so many heartbeats is taken for gone. */
-#define HEARTBEATS_MISSED 10
-/* Links where there are too many routers for all. */
-#define LINKS_WANTED 6
-/* Of these, in the own hall. */
-#define LINKS_OF_HALL 4
-/* Until others are known, links to them are looked for in each turn, for so
- * long from the start at the most: one that refuses must not be asked often.
+/* A router that was not seen for this number of heartbeats is removed. */
+#define HEARTBEATS_MISSED_MAX 10
+/* Links that a router maintains where there are too many routers for a mesh.
  */
-#define LINKS_SOON_MS 3000
-/* Others are taken for known when their number has grown by less than one part
- * of so many for this time: asks double what each knows in less. It has to be
- * over when each would ask the store for itself, as nobody reads for it yet;
- * who knows few takes itself for the first of all. */
-#define SETTLED_QUIET_MS 300
-#define SETTLED_PARTS 8
-#define SETTLED_LATEST_MS 4000
-/* No router is new for so long: a rank is exact then. */
-#define COMPLETE_QUIET_MS 1000
-#define COMPLETE_LATEST_MS 8000
-/* The same for a router that has heard of nobody: its seeds may be down, and
- * a connection takes longer where they are far. */
-#define ALONE_MS 1000
-/* Routers for each of which a heartbeat takes a share of the budget: with
- * more of them each beats less often. */
-#define ROUTERS_A_SECOND 16
+#define LINKS_WANTED 6
+/* Links of these that are in the local hall. */
+#define LINKS_LOCAL_HALL_MIN 4
+/* During this time from the start, links are opened in each tick, as other
+ * routers become known. The time is bounded so that a router that refuses
+ * connections is not tried in each tick for longer. */
+#define LINKS_EAGER_MS 3000
+/* Membership is converged when the number of known routers has grown by no
+ * more than one part in CONVERGED_GROWTH_DIVISOR for the idle time; with
+ * queries, the number that a router knows doubles in less time. The idle time
+ * has to end before routers start to list the store themselves, because no
+ * router does it for all yet. With too short a time, a router that knows few
+ * others ranks itself first for all work. */
+#define CONVERGED_IDLE_MS 300
+#define CONVERGED_GROWTH_DIVISOR 8
+#define CONVERGED_MAX_MS 4000
+/* Membership is complete when no new router was found for the idle time: ranks
+ * are exact then. */
+#define COMPLETE_IDLE_MS 1000
+#define COMPLETE_MAX_MS 8000
+/* Idle time to convergence of a router that knows no other: its seeds may be
+ * down, and connecting to distant ones takes longer. */
+#define ALONE_IDLE_MS 1000
+/* Heartbeats of all routers per HEARTBEAT_MS, each of which takes a share of
+ * the budget; with more routers, each sends less often. */
+#define HEARTBEATS_PER_INTERVAL 16
 
 typedef struct {
     Address_t address;
-    PeerLink_t *link; /* until its hello came */
+    PeerLink_t *link; /* link in use until its hello is received */
 } Seed_t;
 
 struct Membership {
@@ -50,21 +54,21 @@
     MembershipSpec_t spec;
     MemberTable_t *table;
     Gossip_t *gossip;
-    GPtrArray *seeds;   /* Seed_t */
-    GPtrArray *unknown; /* PeerLink_t before their hello */
+    GPtrArray *seeds;        /* Seed_t */
+    GPtrArray *unidentified; /* PeerLink_t without a received hello */
     struct evconnlistener *listener;
     struct event *tick;
     GBytes *key;
     guint16 port;
-    gint64 beat_ms;
-    gint64 seeds_ms;
-    gint64 begun_ms;
-    guint known;     /* routers heard of, as last looked at */
-    gint64 known_ms; /* when that last grew */
-    guint heard;     /* the same, with each single one */
-    gint64 heard_ms;
-    gboolean settled;
-    MemberAsks_t asks;
+    gint64 heartbeat_sent_ms;
+    gint64 seeds_tried_ms;
+    gint64 started_ms;
+    guint converging_count; /* known routers at the last significant growth */
+    gint64 converging_changed_ms; /* time of that growth */
+    guint member_count;           /* highest number of known routers */
+    gint64 member_count_changed_ms;
+    gboolean converged;
+    MemberQueries_t queries;
 };
 
 static const PeerLinkEvents_t link_events;
@@ -86,13 +90,13 @@
 {
     PeerLink_t *link =
         PeerLink_connect(this->base, address, this->key, &link_events, this);
-    g_ptr_array_add(this->unknown, link);
+    g_ptr_array_add(this->unidentified, link);
     send_hello(this, link);
     return link;
 }
 
 static gboolean
-same_address(const Address_t *a, const Address_t *b)
+is_same_address(const Address_t *a, const Address_t *b)
 {
     return a->port == b->port && strcmp(a->host, b->host) == 0;
 }
@@ -102,11 +106,11 @@
 {
     for (guint i = 0; i < this->table->live->len; i++) {
         const Member_t *member = g_ptr_array_index(this->table->live, i);
-        if (same_address(&member->address, address)) {
+        if (is_same_address(&member->address, address)) {
             return member->link != NULL;
         }
     }
-    return same_address(&this->table->self.address, address);
+    return is_same_address(&this->table->self.address, address);
 }
 
 void
@@ -114,68 +118,70 @@
 {
     for (guint i = 0; i < this->seeds->len; i++) {
         const Seed_t *seed = g_ptr_array_index(this->seeds, i);
-        if (same_address(&seed->address, address)) {
+        if (is_same_address(&seed->address, address)) {
             return;
         }
     }
     Seed_t *seed = g_new0(Seed_t, 1);
     seed->address = *address;
     g_ptr_array_add(this->seeds, seed);
-    this->seeds_ms = 0;
+    this->seeds_tried_ms = 0;
 }
 
 static guint
-links_of_hall(const Membership_t *this)
+count_local_hall_links(const Membership_t *this)
 {
     guint links = 0;
     for (guint i = 0; i < this->table->live->len; i++) {
         const Member_t *member = g_ptr_array_index(this->table->live, i);
-        gboolean near = MemberTable_isOfHall(this->table, member);
-        links += member->link && near ? 1 : 0;
+        gboolean local = MemberTable_isInLocalHall(this->table, member);
+        links += member->link && local ? 1 : 0;
     }
     return links;
 }
 
-/* With few members all are linked, with many a few, drawn by chance; returns
- * how many links were begun. */
+/* Opens links to random members that have none. Returns the number of links
+ * started. */
 static guint
-add_links(Membership_t *this, guint most, gboolean of_hall_only)
+add_links(Membership_t *this, guint max, gboolean local_hall_only)
 {
     const GPtrArray *live = this->table->live;
     guint start = live->len > 0 ? Random_below(live->len) : 0;
-    guint begun = 0;
-    for (guint i = 0; i < live->len && begun < most; i++) {
+    guint started = 0;
+    for (guint i = 0; i < live->len && started < max; i++) {
         Member_t *member = g_ptr_array_index(live, (start + i) % live->len);
         gboolean fits =
-            !of_hall_only || MemberTable_isOfHall(this->table, member);
+            !local_hall_only || MemberTable_isInLocalHall(this->table, member);
         if (fits && !member->link && member->address.port != 0) {
             connect_to(this, &member->address);
-            begun++;
+            started++;
         }
     }
-    return begun;
+    return started;
 }
 
-/* Most links stay in the own hall, so that news seldom crosses to another. */
+/* Opens missing links: to all members in a mesh, otherwise to LINKS_WANTED of
+ * them, most in the local hall, so that updates seldom cross between halls. */
 static void
-keep_links(Membership_t *this)
+maintain_links(Membership_t *this)
 {
-    guint links = MemberTable_links(this->table) + this->unknown->len;
+    guint links =
+        MemberTable_countLinks(this->table) + this->unidentified->len;
     guint wanted =
         Gossip_isMesh(this->gossip) ? this->table->live->len : LINKS_WANTED;
     if (links >= wanted) {
         return;
     }
-    guint near = links_of_hall(this) + this->unknown->len;
-    guint missing = LINKS_OF_HALL - MIN(near, LINKS_OF_HALL);
+    guint local = count_local_hall_links(this) + this->unidentified->len;
+    guint missing = LINKS_LOCAL_HALL_MIN - MIN(local, LINKS_LOCAL_HALL_MIN);
     links += add_links(this, MIN(wanted - links, missing), TRUE);
     add_links(this, wanted - MIN(links, wanted), FALSE);
 }
 
 static void
-try_seeds(Membership_t *this)
+connect_seeds(Membership_t *this)
 {
-    guint links = MemberTable_links(this->table);
+    guint links = MemberTable_countLinks(this->table);
     for (guint i = 0; i < this->seeds->len && links < LINKS_WANTED; i++) {
         Seed_t *seed = g_ptr_array_index(this->seeds, i);
         if (!seed->link && !has_link_to(this, &seed->address)) {
@@ -185,9 +191,9 @@
 }
 
 static void
-forget_unknown(Membership_t *this, const PeerLink_t *link)
+remove_unidentified(Membership_t *this, const PeerLink_t *link)
 {
-    g_ptr_array_remove_fast(this->unknown, (gpointer)link);
+    g_ptr_array_remove_fast(this->unidentified, (gpointer)link);
     for (guint i = 0; i < this->seeds->len; i++) {
         Seed_t *seed = g_ptr_array_index(this->seeds, i);
         if (seed->link == link) {
@@ -201,23 +207,24 @@
 {
     Membership_t *this = owner;
     Member_t *member = MemberTable_findLink(this->table, link);
-    forget_unknown(this, link);
+    remove_unidentified(this, link);
     if (member) {
         member->link = NULL;
     }
 }
 
-/* Where both made a link at once, both keep that of the smaller name. */
+/* If two routers have opened links to each other at the same time, both keep
+ * the link opened by the router with the smaller name. */
 static void
-take_hello(Membership_t *this, PeerLink_t *link, const Wt__Hello *hello)
+receive_hello(Membership_t *this, PeerLink_t *link, const Wt__Hello *hello)
 {
-    forget_unknown(this, link);
+    remove_unidentified(this, link);
     gint order = strcmp(this->table->self.name->str, hello->name);
     if (order == 0) {
         PeerLink_close(link);
         return;
     }
-    Member_t *member = MemberTable_findOrMake(this->table, hello->name);
+    Member_t *member = MemberTable_findOrCreate(this->table, hello->name);
     if (member->link && PeerLink_isOutgoing(link) != (order < 0)) {
         PeerLink_close(link);
         return;
@@ -226,23 +233,24 @@
         PeerLink_close(member->link);
     }
     member->link = link;
-    member->asked = !PeerLink_isOutgoing(link);
-    member->heard_ms = Clock_nowMs();
+    member->is_incoming = !PeerLink_isOutgoing(link);
+    member->last_seen_ms = Clock_nowMs();
     if (hello->incarnation > member->incarnation) {
         member->incarnation = hello->incarnation;
         member->heartbeat = 0;
         member->leaving = FALSE;
     }
-    Gossip_introduce(this->gossip, member);
+    Gossip_syncPeer(this->gossip, member);
     if (this->spec.linked) {
         this->spec.linked(this->spec.data, member);
     }
 }
 
 static void
-answer_ask(Membership_t *this, Member_t *from, const Wt__MembersAsk *asked)
+answer_members_query(Membership_t *this, Member_t *from,
+                     const Wt__MembersAsk *query)
 {
-    GPtrArray *unknown = MemberAsks_take(this->table, from, asked);
+    GPtrArray *unknown = MemberQueries_receive(this->table, from, query);
     Gossip_sendMembers(this->gossip, from, unknown);
     g_ptr_array_unref(unknown);
 }
@@ -252,7 +260,7 @@
 {
     Membership_t *this = owner;
     if (message->body_case == WT__PEER_MESSAGE__BODY_HELLO) {
-        take_hello(this, link, message->hello);
+        receive_hello(this, link, message->hello);
         return;
     }
     Member_t *from = MemberTable_findLink(this->table, link);
@@ -260,11 +268,11 @@
         return;
     }
     if (message->body_case == WT__PEER_MESSAGE__BODY_GOSSIP) {
-        Gossip_take(this->gossip, message->gossip);
+        Gossip_receive(this->gossip, message->gossip);
         return;
     }
     if (message->body_case == WT__PEER_MESSAGE__BODY_MEMBERS_ASK) {
-        answer_ask(this, from, message->members_ask);
+        answer_members_query(this, from, message->members_ask);
         return;
     }
     this->spec.message(this->spec.data, from, message);
@@ -276,39 +284,43 @@
 };
 
 static gint64
-heartbeat_ms(const Membership_t *this)
+heartbeat_interval_ms(const Membership_t *this)
 {
     gint64 routers = (gint64)this->table->live->len + 1;
-    return MAX(HEARTBEAT_MS, routers * HEARTBEAT_MS / ROUTERS_A_SECOND);
+    return MAX(HEARTBEAT_MS, routers * HEARTBEAT_MS / HEARTBEATS_PER_INTERVAL);
 }
 
 static void
-beat(Membership_t *this, gint64 now_ms)
+send_heartbeat(Membership_t *this, gint64 now_ms)
 {
-    gint64 every_ms = heartbeat_ms(this);
-    if (now_ms - this->beat_ms < every_ms) {
+    gint64 interval_ms = heartbeat_interval_ms(this);
+    if (now_ms - this->heartbeat_sent_ms < interval_ms) {
         return;
     }
-    this->beat_ms = now_ms;
-    MemberTable_logUnnamed(this->table);
-    Gossip_heartbeat(this->gossip);
-    MemberTable_expire(this->table, HEARTBEATS_MISSED * every_ms);
+    this->heartbeat_sent_ms = now_ms;
+    MemberTable_logJoinedCount(this->table);
+    Gossip_spreadHeartbeat(this->gossip);
+    MemberTable_expire(this->table, HEARTBEATS_MISSED_MAX * interval_ms);
 }
 
 static void
-note_known(Membership_t *this, gint64 now_ms)
+update_convergence(Membership_t *this, gint64 now_ms)
 {
-    if (this->table->live->len > this->known + this->known / SETTLED_PARTS) {
-        this->known = this->table->live->len;
-        this->known_ms = now_ms;
+    if (this->table->live->len >
+        this->converging_count +
+            this->converging_count / CONVERGED_GROWTH_DIVISOR) {
+        this->converging_count = this->table->live->len;
+        this->converging_changed_ms = now_ms;
     }
-    if (this->table->live->len > this->heard) {
-        this->heard = this->table->live->len;
-        this->heard_ms = now_ms;
+    if (this->table->live->len > this->member_count) {
+        this->member_count = this->table->live->len;
+        this->member_count_changed_ms = now_ms;
     }
-    gint64 quiet_ms = this->known > 0 ? SETTLED_QUIET_MS : ALONE_MS;
-    this->settled = this->settled || now_ms - this->known_ms >= quiet_ms ||
-                    now_ms - this->begun_ms >= SETTLED_LATEST_MS;
+    gint64 idle_ms =
+        this->converging_count > 0 ? CONVERGED_IDLE_MS : ALONE_IDLE_MS;
+    this->converged = this->converged ||
+                      now_ms - this->converging_changed_ms >= idle_ms ||
+                      now_ms - this->started_ms >= CONVERGED_MAX_MS;
 }
 
 static void
@@ -318,18 +330,18 @@
     (void)what;
     Membership_t *this = data;
     gint64 now_ms = Clock_nowMs();
-    beat(this, now_ms);
-    note_known(this, now_ms);
-    if (now_ms - this->seeds_ms >= SEED_RETRY_MS) {
-        this->seeds_ms = now_ms;
-        try_seeds(this);
-        keep_links(this);
+    send_heartbeat(this, now_ms);
+    update_convergence(this, now_ms);
+    if (now_ms - this->seeds_tried_ms >= SEED_RETRY_MS) {
+        this->seeds_tried_ms = now_ms;
+        connect_seeds(this);
+        maintain_links(this);
     }
-    else if (now_ms - this->begun_ms < LINKS_SOON_MS) {
-        keep_links(this);
+    else if (now_ms - this->started_ms < LINKS_EAGER_MS) {
+        maintain_links(this);
     }
     if (!Gossip_isMesh(this->gossip)) {
-        MemberAsks_tick(&this->asks, this->table, now_ms);
+        MemberQueries_tick(&this->queries, this->table, now_ms);
     }
     Gossip_tick(this->gossip);
     Clock_arm(this->tick, GOSSIP_TICK_MS);
@@ -345,7 +357,7 @@
     Membership_t *this = data;
     PeerLink_t *link =
         PeerLink_accept(this->base, fd, this->key, &link_events, this);
-    g_ptr_array_add(this->unknown, link);
+    g_ptr_array_add(this->unidentified, link);
     send_hello(this, link);
 }
 
@@ -353,27 +365,28 @@
 start_listening(Membership_t *this, GError **error)
 {
     const Address_t *address = &this->spec.settings->peers.listen;
-    struct sockaddr_in place = {.sin_family = AF_INET,
-                                .sin_port = htons(address->port)};
-    socklen_t size = sizeof(place);
-    inet_pton(AF_INET, address->host, &place.sin_addr);
+    struct sockaddr_in address_in = {.sin_family = AF_INET,
+                                     .sin_port = htons(address->port)};
+    socklen_t size = sizeof(address_in);
+    inet_pton(AF_INET, address->host, &address_in.sin_addr);
     this->listener = evconnlistener_new_bind(
         this->base, on_accept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
-        -1, (struct sockaddr *)&place, sizeof(place));
+        -1, (struct sockaddr *)&address_in, sizeof(address_in));
     if (!this->listener) {
         g_set_error(error, WT_ERROR, WT_ERROR_LISTEN, "can't listen on %s:%u",
                     address->host, address->port);
         return FALSE;
     }
     getsockname(evconnlistener_get_fd(this->listener),
-                (struct sockaddr *)&place, &size);
-    this->port = ntohs(place.sin_port);
+                (struct sockaddr *)&address_in, &size);
+    this->port = ntohs(address_in.sin_port);
     this->table->self.address = *address;
     this->table->self.address.port = this->port;
     return TRUE;
 }
 
-/* Peers speak under a key of their own, made from the one that seals. */
+/* Derives the key for messages between peers from the sealing key, so that
+ * each purpose has a key of its own. */
 static GBytes *
 derive_key(GBytes *seal)
 {
@@ -400,13 +413,13 @@
     this->gossip = Gossip_create(this->table, spec->upstreams, spec->counters,
                                  &settings->peers);
     this->seeds = g_ptr_array_new_with_free_func(g_free);
-    this->unknown = g_ptr_array_new();
+    this->unidentified = g_ptr_array_new();
     this->key = derive_key(settings->keys.seal);
     this->tick = Clock_timer(base, on_tick, this);
-    this->begun_ms = Clock_nowMs();
-    this->known_ms = this->begun_ms;
-    this->heard_ms = this->begun_ms;
-    MemberAsks_init(&this->asks, this->begun_ms);
+    this->started_ms = Clock_nowMs();
+    this->converging_changed_ms = this->started_ms;
+    this->member_count_changed_ms = this->started_ms;
+    MemberQueries_init(&this->queries, this->started_ms);
     if (!start_listening(this, error)) {
         Membership_destroy(this);
         return NULL;
@@ -426,10 +439,10 @@
         evconnlistener_free(this->listener);
     }
     event_free(this->tick);
-    for (guint i = 0; i < this->unknown->len; i++) {
-        PeerLink_close(g_ptr_array_index(this->unknown, i));
+    for (guint i = 0; i < this->unidentified->len; i++) {
+        PeerLink_close(g_ptr_array_index(this->unidentified, i));
     }
-    g_ptr_array_unref(this->unknown);
+    g_ptr_array_unref(this->unidentified);
     g_ptr_array_unref(this->seeds);
     Gossip_destroy(this->gossip);
     MemberTable_destroy(this->table);
@@ -444,7 +457,7 @@
 }
 
 void
-Membership_setOffset(Membership_t *this, guint64 fold_offset)
+Membership_setFoldOffset(Membership_t *this, guint64 fold_offset)
 {
     if (fold_offset != this->table->self.fold_offset) {
         this->table->self.fold_offset = fold_offset;
@@ -460,7 +473,7 @@
 }
 
 void
-Membership_noteUpstream(Membership_t *this, const char *name)
+Membership_spreadUpstream(Membership_t *this, const char *name)
 {
     Gossip_spreadUpstream(this->gossip, name);
 }
@@ -472,23 +485,23 @@
 }
 
 guint
-Membership_live(const Membership_t *this)
+Membership_countActive(const Membership_t *this)
 {
-    return MemberTable_liveCount(this->table);
+    return MemberTable_countActive(this->table);
 }
 
 gboolean
-Membership_isSettled(const Membership_t *this)
+Membership_isConverged(const Membership_t *this)
 {
-    return this->settled;
+    return this->converged;
 }
 
 gboolean
 Membership_isComplete(const Membership_t *this)
 {
     gint64 now_ms = Clock_nowMs();
-    return now_ms - this->heard_ms >= COMPLETE_QUIET_MS ||
-           now_ms - this->begun_ms >= COMPLETE_LATEST_MS;
+    return now_ms - this->member_count_changed_ms >= COMPLETE_IDLE_MS ||
+           now_ms - this->started_ms >= COMPLETE_MAX_MS;
 }
 
 gboolean
@@ -498,31 +511,32 @@
 }
 
 Member_t *
-Membership_owner(const Membership_t *this, const char *key)
+Membership_findOwner(const Membership_t *this, const char *key)
 {
-    return MemberTable_owner(this->table, key);
+    return MemberTable_findOwner(this->table, key);
 }
 
 Member_t *
-Membership_answering(const Membership_t *this, const char *key, gint64 now_ms)
+Membership_findReachableOwner(const Membership_t *this, const char *key,
+                              gint64 now_ms)
 {
-    return MemberTable_answering(this->table, key, now_ms);
+    return MemberTable_findReachableOwner(this->table, key, now_ms);
 }
 
 guint
-Membership_first(const Membership_t *this, const char *key,
-                 const Member_t **out, guint most)
+Membership_findFirst(const Membership_t *this, const char *key,
+                     const Member_t **out, guint max)
 {
-    return MemberTable_first(this->table, key, out, most);
+    return MemberTable_findFirst(this->table, key, out, max);
 }
 
 void
-Membership_noteUnanswered(Membership_t *this, const char *name,
-                          gint64 until_ms)
+Membership_noteUnreachable(Membership_t *this, const char *name,
+                           gint64 until_ms)
 {
     Member_t *member = MemberTable_find(this->table, name);
     if (member) {
-        member->unanswered_until_ms = until_ms;
+        member->unreachable_until_ms = until_ms;
     }
 }
 
@@ -545,9 +559,10 @@
 }
 
 guint
-Membership_rank(const Membership_t *this, const char *key, const char *hall)
+Membership_localRank(const Membership_t *this, const char *key,
+                     const char *hall)
 {
-    return MemberTable_rank(this->table, key, hall);
+    return MemberTable_localRank(this->table, key, hall);
 }
 
 gboolean
@@ -563,11 +578,12 @@
 }
 
 void
-Membership_sendAll(Membership_t *this, const Wt__PeerMessage *message)
+Membership_broadcast(Membership_t *this, const Wt__PeerMessage *message)
 {
-    const GPtrArray *linked = MemberTable_linked(this->table);
-    guint most = Membership_isMesh(this) ? linked->len : MEMBER_TABLE_FED;
-    for (guint i = 0; i < MIN(linked->len, most); i++) {
+    const GPtrArray *linked = MemberTable_listLinked(this->table);
+    guint max =
+        Membership_isMesh(this) ? linked->len : MEMBER_TABLE_UPDATE_PEERS;
+    for (guint i = 0; i < MIN(linked->len, max); i++) {
         Membership_send(this, g_ptr_array_index(linked, i), message);
     }
 }
--- a/src/Membership.h
+++ b/src/Membership.h
@@ -3,9 +3,10 @@
 /**
  * DOC: Membership
  *
- * The links to other routers: it finds them by seeds and by what others tell
- * (MemberTable.h), and lets gossip flow (Gossip.h). It is a hint throughout:
- * no promise rests on it, only how soon and how cheaply things happen.
+ * Manages the links to other routers. It finds routers by seeds and by gossip
+ * (Gossip.h), and stores them in a table (MemberTable.h). Membership is only a
+ * hint: correctness never depends on it, only the latency and cost of an
+ * operation do.
  */
 #include <event2/event.h>
 #include <glib.h>
@@ -17,14 +18,14 @@
 #include "UpstreamSet.h"
 
 /**
- * struct MembershipSpec_t - what it needs
- * @settings: of this router
- * @incarnation: of this process
- * @upstreams: learns from gossip, and is read for it
- * @counters: for bytes sent
+ * struct MembershipSpec_t - parameters
+ * @settings: settings of this router
+ * @incarnation: incarnation of this process
+ * @upstreams: updated from received gossip, and read for gossip that is sent
+ * @counters: counts the bytes sent
  * @message: called for each message that is not about membership
  * @linked: called for each new link to a router; may be NULL
- * @data: for both
+ * @data: argument of both callbacks
  */
 typedef struct {
     const Settings_t *settings;
@@ -40,96 +41,102 @@
 /** struct Membership_t - opaque */
 typedef struct Membership Membership_t;
 
-/** Membership_create() - listen and start to look for peers */
+/** Membership_create() - listen for peers and start to connect to seeds */
 Membership_t *Membership_create(struct event_base *base,
                                 const MembershipSpec_t *spec, GError **error);
 
-/** Membership_destroy() - close all links and free it */
+/** Membership_destroy() - close all links and free the membership */
 void Membership_destroy(Membership_t *this);
 
-/** Membership_port() - where it listens */
+/** Membership_port() - port on which this router listens for peers */
 guint16 Membership_port(const Membership_t *this);
 
-/** Membership_addSeed() - an address where a router may listen */
+/** Membership_addSeed() - add an address where a router may listen */
 void Membership_addSeed(Membership_t *this, const Address_t *address);
 
-/** Membership_setOffset() - the configuration in force here */
-void Membership_setOffset(Membership_t *this, guint64 fold_offset);
+/** Membership_setFoldOffset() - set the fold offset of the configuration in
+ * force at this router */
+void Membership_setFoldOffset(Membership_t *this, guint64 fold_offset);
 
-/** Membership_setLeaving() - this router stops */
+/** Membership_setLeaving() - announce that this router is stopping */
 void Membership_setLeaving(Membership_t *this);
 
-/** Membership_noteUpstream() - there is news of an upstream here */
-void Membership_noteUpstream(Membership_t *this, const char *name);
+/** Membership_spreadUpstream() - send the state of an upstream to all routers
+ */
+void Membership_spreadUpstream(Membership_t *this, const char *name);
 
-/** Membership_members() - Member_t of all others that are alive, by name */
+/** Membership_members() - Member_t * of all other live routers, by name */
 const GPtrArray *Membership_members(const Membership_t *this);
 
-/** Membership_live() - routers that are alive and not leaving, this one
- * included */
-guint Membership_live(const Membership_t *this);
+/** Membership_countActive() - number of live routers that are not leaving,
+ * with this one */
+guint Membership_countActive(const Membership_t *this);
 
 /**
- * Membership_isSettled() - whether this router has had time to learn of the
- * others
+ * Membership_isConverged() - whether this router has had time to learn of the
+ * other routers
  *
- * Before, each router would be the first in rank and take work that one does
- * for all. Once true it stays so.
+ * Before that, each router would rank first for every key and do work that one
+ * router does for all. Never becomes FALSE again.
  */
-gboolean Membership_isSettled(const Membership_t *this);
+gboolean Membership_isConverged(const Membership_t *this);
 
 /**
- * Membership_isComplete() - whether this router seems to know all others
+ * Membership_isComplete() - whether this router probably knows all others
  *
- * For work that costs too much where several do it, and can wait a second.
+ * For work that is too costly to be done by several routers and can wait for a
+ * second.
  */
 gboolean Membership_isComplete(const Membership_t *this);
 
-/** Membership_isMesh() - whether all routers are linked with all */
+/** Membership_isMesh() - whether all routers are linked with each other */
 gboolean Membership_isMesh(const Membership_t *this);
 
 /**
- * Membership_owner() - the router that rendezvous hashing puts first
- * @key: of what is owned
+ * Membership_findOwner() - find the router ranked first for a key by
+ * rendezvous hashing
  *
- * Return: NULL for this one
+ * Return: NULL for this router
  */
-Member_t *Membership_owner(const Membership_t *this, const char *key);
+Member_t *Membership_findOwner(const Membership_t *this, const char *key);
 
-/** Membership_answering() - the same among those that answer datagrams */
-Member_t *Membership_answering(const Membership_t *this, const char *key,
-                               gint64 now_ms);
+/** Membership_findReachableOwner() - find the router ranked first for a key
+ * among those that answer datagrams; NULL for this router */
+Member_t *Membership_findReachableOwner(const Membership_t *this,
+                                        const char *key, gint64 now_ms);
 
-/** Membership_first() - the first in a key's order; see MemberTable_first() */
-guint Membership_first(const Membership_t *this, const char *key,
-                       const Member_t **out, guint most);
+/** Membership_findFirst() - find the routers ranked first for a key; see
+ * MemberTable_findFirst() */
+guint Membership_findFirst(const Membership_t *this, const char *key,
+                           const Member_t **out, guint max);
 
-/** Membership_noteUnanswered() - a member is sent no datagrams until then */
-void Membership_noteUnanswered(Membership_t *this, const char *name,
-                               gint64 until_ms);
+/** Membership_noteUnreachable() - send no datagrams to a member until
+ * @until_ms, monotonic */
+void Membership_noteUnreachable(Membership_t *this, const char *name,
+                                gint64 until_ms);
 
-/** Membership_address() - where this router listens for peers */
+/** Membership_address() - address on which this router listens for peers */
 const Address_t *Membership_address(const Membership_t *this);
 
-/** Membership_hall() - where this router stands */
+/** Membership_hall() - hall of this router */
 const char *Membership_hall(const Membership_t *this);
 
-/** Membership_key() - under which peers speak */
+/** Membership_key() - key that authenticates messages between peers */
 GBytes *Membership_key(const Membership_t *this);
 
 /**
- * Membership_rank() - this router's place in a key's order
- * @hall: among those of this hall only; NULL for all
+ * Membership_localRank() - this router's rank for a key, from 0
+ * @hall: rank among the routers of this hall only; NULL for all
  */
-guint Membership_rank(const Membership_t *this, const char *key,
-                      const char *hall);
+guint Membership_localRank(const Membership_t *this, const char *key,
+                           const char *hall);
 
-/** Membership_send() - send to a member; FALSE where there is no link */
+/** Membership_send() - send to a member; FALSE if there is no link */
 gboolean Membership_send(Membership_t *this, Member_t *member,
                          const Wt__PeerMessage *message);
 
-/** Membership_sendAll() - send to all members that are linked where all are
- * linked with all, else to as many as pass news on to everyone */
-void Membership_sendAll(Membership_t *this, const Wt__PeerMessage *message);
+/** Membership_broadcast() - send to all linked members in a mesh, otherwise to
+ * the MEMBER_TABLE_UPDATE_PEERS first of them, which forward to the others */
+void Membership_broadcast(Membership_t *this, const Wt__PeerMessage *message);
 
 #endif
--- a/src/NameFilter.c
+++ b/src/NameFilter.c
@@ -5,8 +5,7 @@
 
 #define BITS_PER_NAME 16
 #define BITS_PER_BYTE 8
-/* Bits that stand for a name. */
-#define HASHES 4
+#define HASHES_PER_NAME 4
 
 void
 NameFilter_init(NameFilter_t *this, guint count, guint32 seed)
@@ -31,30 +30,30 @@
 }
 
 static guint64
-bit_at(guint64 hash, guint which, gsize bytes)
+bit_index(guint64 hash, guint hash_index, gsize bytes)
 {
     guint64 step = (hash >> 32) | 1;
-    return (hash + which * step) % ((guint64)bytes * BITS_PER_BYTE);
+    return (hash + hash_index * step) % ((guint64)bytes * BITS_PER_BYTE);
 }
 
 void
 NameFilter_add(NameFilter_t *this, const char *name, guint64 incarnation)
 {
     guint64 hash = hash_name(this->seed, name, incarnation);
-    for (guint i = 0; i < HASHES; i++) {
-        guint64 bit = bit_at(hash, i, this->bits->len);
+    for (guint i = 0; i < HASHES_PER_NAME; i++) {
+        guint64 bit = bit_index(hash, i, this->bits->len);
         this->bits->data[bit / BITS_PER_BYTE] |=
             (guint8)(1U << (bit % BITS_PER_BYTE));
     }
 }
 
 gboolean
-NameFilter_has(const guint8 *bits, gsize length, guint32 seed,
-               const char *name, guint64 incarnation)
+NameFilter_mayContain(const guint8 *bits, gsize length, guint32 seed,
+                      const char *name, guint64 incarnation)
 {
     guint64 hash = hash_name(seed, name, incarnation);
-    for (guint i = 0; i < HASHES && length > 0; i++) {
-        guint64 bit = bit_at(hash, i, length);
+    for (guint i = 0; i < HASHES_PER_NAME && length > 0; i++) {
+        guint64 bit = bit_index(hash, i, length);
         if (!(bits[bit / BITS_PER_BYTE] & (1U << (bit % BITS_PER_BYTE)))) {
             return FALSE;
         }
--- a/src/NoticeUpdates.c
+++ b/src/NoticeUpdates.c
@@ -86,7 +86,7 @@
     Wt__PeerMessage message;
     collect_pending(this, &batch);
     make_message(&batch, &body, &message);
-    Membership_sendAll(this->spec.membership, &message);
+    Membership_broadcast(this->spec.membership, &message);
     if (g_hash_table_size(this->pending) > 0) {
         Clock_arm(this->timer, BATCH_DELAY_MS);
     }
--- a/src/Orders.c
+++ b/src/Orders.c
@@ -265,10 +265,10 @@
     Orders_t *this = data;
     Lease_t *lease = this->sender.lease;
     guint rank =
-        Membership_rank(this->spec.membership, this->scope->str, NULL);
+        Membership_localRank(this->spec.membership, this->scope->str, NULL);
     note_progress(this);
     /* The rank is meaningless until the other members are known. */
-    gboolean is_ranked = Membership_isSettled(this->spec.membership);
+    gboolean is_ranked = Membership_isConverged(this->spec.membership);
     gboolean candidate = is_ranked && is_candidate(this, rank);
     gboolean wanted =
         candidate && has_work(this) && this->sender.stale_until_ms == 0;
--- a/src/PeerAge.c
+++ b/src/PeerAge.c
@@ -11,5 +11,5 @@
 gint64
 PeerAge_atMs(guint32 age_ms)
 {
-    return Clock_nowMs() - age_ms - PEER_TRANSIT_MS;
+    return Clock_nowMs() - age_ms - PEER_TRANSIT_MAX_MS;
 }
--- a/src/PeerAge.h
+++ b/src/PeerAge.h
@@ -3,20 +3,20 @@
 /**
  * DOC: PeerAge
  *
- * How routers tell each other when something was known: as an age, as their
- * clocks differ. What a message is on its way at the most is added to it, so
- * that an age that is passed on only grows.
+ * Converts times to ages and back for messages between routers, whose clocks
+ * differ. The receiver adds the longest transit time of a message, so that an
+ * age that is forwarded only grows.
  */
 #include <glib.h>
 
-/** What a message is on its way at the most, in ms */
-#define PEER_TRANSIT_MS 50
+/** Longest transit time of a message between routers */
+#define PEER_TRANSIT_MAX_MS 50
 
-/** PeerAge_of() - the age to tell of a monotonic time, in ms */
+/** PeerAge_of() - age in ms of a monotonic time, for a message */
 guint32 PeerAge_of(gint64 at_ms);
 
-/** PeerAge_atMs() - the monotonic time that an age in ms is counted from,
- * which is told in a message that has just come */
+/** PeerAge_atMs() - monotonic time for an age in ms from a message that was
+ * just received */
 gint64 PeerAge_atMs(guint32 age_ms);
 
 #endif
--- a/src/PeerDatagrams.c
+++ b/src/PeerDatagrams.c
@@ -8,58 +8,58 @@
 #include "PeerMac.h"
 
 /* Fits into one packet on any link between routers. */
-#define DATAGRAM_MAX 1200
-/* Datagrams read in one turn of the loop, so that others get theirs. */
-#define BURST_MAX 64
+#define DATAGRAM_MAX_BYTES 1200
+/* Datagrams read per loop iteration, so that other events are not delayed. */
+#define READS_PER_ITERATION_MAX 64
 
 typedef struct {
-    PeerDatagramTake_t take;
+    PeerDatagramHandler_t handler;
     void *owner;
-} Listener_t;
+} Handler_t;
 
 struct PeerDatagrams {
     evutil_socket_t fd;
     struct event *readable;
     GBytes *key;
-    GArray *listeners; /* Listener_t */
+    GArray *handlers; /* Handler_t */
 };
 
 struct sockaddr_in
-PeerDatagrams_address(const Address_t *address)
+PeerDatagrams_toSockaddr(const Address_t *address)
 {
-    struct sockaddr_in place = {.sin_family = AF_INET,
-                                .sin_port = htons(address->port)};
-    inet_pton(AF_INET, address->host, &place.sin_addr);
-    return place;
+    struct sockaddr_in socket_address = {.sin_family = AF_INET,
+                                         .sin_port = htons(address->port)};
+    inet_pton(AF_INET, address->host, &socket_address.sin_addr);
+    return socket_address;
 }
 
 static void
-pass_on(const PeerDatagrams_t *this, const Wt__PeerMessage *message,
-        const struct sockaddr_in *from)
+call_handlers(const PeerDatagrams_t *this, const Wt__PeerMessage *message,
+              const struct sockaddr_in *from)
 {
-    for (guint i = 0; i < this->listeners->len; i++) {
-        const Listener_t *listener =
-            &g_array_index(this->listeners, Listener_t, i);
-        listener->take(listener->owner, message, from);
+    for (guint i = 0; i < this->handlers->len; i++) {
+        const Handler_t *entry = &g_array_index(this->handlers, Handler_t, i);
+        entry->handler(entry->owner, message, from);
     }
 }
 
-/* What is not authentic is dropped without a word: anyone may send it. */
+/* Drops a datagram that is not authentic without a log line, because anyone
+ * can send one. */
 static void
-take_datagram(const PeerDatagrams_t *this, const guint8 *bytes, gsize size,
-              const struct sockaddr_in *from)
+receive_datagram(const PeerDatagrams_t *this, const guint8 *bytes, gsize size,
+                 const struct sockaddr_in *from)
 {
     if (size < PEER_MAC_BYTES) {
         return;
     }
     const guint8 *payload = bytes + PEER_MAC_BYTES;
     size -= PEER_MAC_BYTES;
-    if (!PeerMac_isGood(this->key, payload, size, bytes)) {
+    if (!PeerMac_verify(this->key, payload, size, bytes)) {
         return;
     }
     Wt__PeerMessage *message = wt__peer_message__unpack(NULL, size, payload);
     if (message) {
-        pass_on(this, message, from);
+        call_handlers(this, message, from);
         wt__peer_message__free_unpacked(message, NULL);
     }
 }
@@ -69,8 +69,8 @@
 {
     (void)what;
     const PeerDatagrams_t *this = data;
-    guint8 bytes[DATAGRAM_MAX];
-    for (guint i = 0; i < BURST_MAX; i++) {
+    guint8 bytes[DATAGRAM_MAX_BYTES];
+    for (guint i = 0; i < READS_PER_ITERATION_MAX; i++) {
         struct sockaddr_in from;
         socklen_t length = sizeof(from);
         ssize_t size = recvfrom(fd, bytes, sizeof(bytes), MSG_DONTWAIT,
@@ -78,17 +78,18 @@
         if (size < 0) {
             return;
         }
-        take_datagram(this, bytes, (gsize)size, &from);
+        receive_datagram(this, bytes, (gsize)size, &from);
     }
 }
 
 static evutil_socket_t
 open_socket(const Address_t *listen)
 {
-    struct sockaddr_in place = PeerDatagrams_address(listen);
+    struct sockaddr_in socket_address = PeerDatagrams_toSockaddr(listen);
     evutil_socket_t fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
     if (fd >= 0 && (evutil_make_socket_nonblocking(fd) != 0 ||
-                    bind(fd, (struct sockaddr *)&place, sizeof(place)) != 0)) {
+                    bind(fd, (struct sockaddr *)&socket_address,
+                         sizeof(socket_address)) != 0)) {
         close(fd);
         fd = -1;
     }
@@ -102,14 +103,14 @@
     evutil_socket_t fd = open_socket(listen);
     if (fd < 0) {
         g_set_error(error, WT_ERROR, WT_ERROR_LISTEN,
-                    "no datagrams on %s:%u: %s", listen->host, listen->port,
-                    g_strerror(errno));
+                    "can't open a datagram socket on %s:%u: %s", listen->host,
+                    listen->port, g_strerror(errno));
         return NULL;
     }
     PeerDatagrams_t *this = g_new0(PeerDatagrams_t, 1);
     this->fd = fd;
     this->key = g_bytes_ref(key);
-    this->listeners = g_array_new(FALSE, FALSE, sizeof(Listener_t));
+    this->handlers = g_array_new(FALSE, FALSE, sizeof(Handler_t));
     this->readable =
         event_new(base, fd, EV_READ | EV_PERSIST, on_readable, this);
     event_add(this->readable, NULL);
@@ -117,11 +118,11 @@
 }
 
 void
-PeerDatagrams_listen(PeerDatagrams_t *this, PeerDatagramTake_t take,
-                     void *owner)
+PeerDatagrams_addHandler(PeerDatagrams_t *this, PeerDatagramHandler_t handler,
+                         void *owner)
 {
-    Listener_t listener = {take, owner};
-    g_array_append_val(this->listeners, listener);
+    Handler_t entry = {handler, owner};
+    g_array_append_val(this->handlers, entry);
 }
 
 void
@@ -130,7 +131,7 @@
     event_free(this->readable);
     close(this->fd);
     g_bytes_unref(this->key);
-    g_array_unref(this->listeners);
+    g_array_unref(this->handlers);
     g_free(this);
 }
 
@@ -138,14 +139,14 @@
 PeerDatagrams_send(const PeerDatagrams_t *this, const struct sockaddr_in *to,
                    const Wt__PeerMessage *message)
 {
-    guint8 bytes[DATAGRAM_MAX];
+    guint8 bytes[DATAGRAM_MAX_BYTES];
     gsize size = wt__peer_message__get_packed_size(message);
-    if (size > DATAGRAM_MAX - PEER_MAC_BYTES) {
+    if (size > DATAGRAM_MAX_BYTES - PEER_MAC_BYTES) {
         return;
     }
     wt__peer_message__pack(message, bytes + PEER_MAC_BYTES);
-    PeerMac_make(this->key, bytes + PEER_MAC_BYTES, size, bytes);
-    /* A full buffer loses it, as the network may. */
+    PeerMac_compute(this->key, bytes + PEER_MAC_BYTES, size, bytes);
+    /* A full send buffer drops the datagram, as the network may. */
     (void)sendto(this->fd, bytes, PEER_MAC_BYTES + size, MSG_DONTWAIT,
                  (const struct sockaddr *)to, sizeof(*to));
 }
--- a/src/PeerDatagrams.h
+++ b/src/PeerDatagrams.h
@@ -3,9 +3,9 @@
 /**
  * DOC: PeerDatagrams
  *
- * Single messages between any two routers, without a link between them: each
- * one datagram, authenticated with the peers' key. They may be lost; whoever
- * sends one must do without an answer.
+ * Sends single messages between any two routers without a link. Each message
+ * is one datagram, authenticated with the peers' key. Datagrams may be lost,
+ * so that a sender has to cope without a reply.
  */
 #include <event2/event.h>
 #include <netinet/in.h>
@@ -16,38 +16,40 @@
 /** struct PeerDatagrams_t - opaque */
 typedef struct PeerDatagrams PeerDatagrams_t;
 
-/** PeerDatagramTake_t - an authentic message came */
-typedef void (*PeerDatagramTake_t)(void *owner, const Wt__PeerMessage *message,
-                                   const struct sockaddr_in *from);
+/** PeerDatagramHandler_t - called for each authentic message */
+typedef void (*PeerDatagramHandler_t)(void *owner,
+                                      const Wt__PeerMessage *message,
+                                      const struct sockaddr_in *from);
 
 /**
- * PeerDatagrams_create() - listen
- * @listen: address and port
- * @key: that all routers share
+ * PeerDatagrams_create() - open a socket and receive datagrams
+ * @listen: address and port to bind
+ * @key: key that all routers share
  *
- * Return: NULL where the port can't be had
+ * Return: NULL if the port can't be bound
  */
 PeerDatagrams_t *PeerDatagrams_create(struct event_base *base,
                                       const Address_t *listen, GBytes *key,
                                       GError **error);
 
 /**
- * PeerDatagrams_listen() - hear all messages, beside those who do already
- * @take: passes over what is not for it
- * @owner: of @take; must outlive the socket or the last message
+ * PeerDatagrams_addHandler() - add a handler, which gets all messages
+ * @handler: ignores messages that are not for it
+ * @owner: argument of @handler; must outlive the socket or the last message
  */
-void PeerDatagrams_listen(PeerDatagrams_t *this, PeerDatagramTake_t take,
-                          void *owner);
+void PeerDatagrams_addHandler(PeerDatagrams_t *this,
+                              PeerDatagramHandler_t handler, void *owner);
 
-/** PeerDatagrams_destroy() - free it */
+/** PeerDatagrams_destroy() - close the socket and free its state */
 void PeerDatagrams_destroy(PeerDatagrams_t *this);
 
-/** PeerDatagrams_send() - send one; what does not go out is lost */
+/** PeerDatagrams_send() - send one datagram; drops a message that is too long
+ * or can't be sent now */
 void PeerDatagrams_send(const PeerDatagrams_t *this,
                         const struct sockaddr_in *to,
                         const Wt__PeerMessage *message);
 
-/** PeerDatagrams_address() - an address in the form of the socket's calls */
-struct sockaddr_in PeerDatagrams_address(const Address_t *address);
+/** PeerDatagrams_toSockaddr() - convert an address for socket calls */
+struct sockaddr_in PeerDatagrams_toSockaddr(const Address_t *address);
 
 #endif
--- a/src/PeerLink.c
+++ b/src/PeerLink.c
@@ -9,27 +9,28 @@
 #include "Clock.h"
 #include "PeerMac.h"
 
-#define HEAD_BYTES (sizeof(guint32) + PEER_MAC_BYTES)
-/* A peer that reads nothing for so much is given up. */
-#define OUTPUT_MAX (64U << 20)
+#define HEADER_BYTES (sizeof(guint32) + PEER_MAC_BYTES)
+/* Unsent bytes above which a link is closed, because its peer has stopped
+ * reading. */
+#define OUTPUT_MAX_BYTES (64U << 20)
 
 struct PeerLink {
     struct bufferevent *stream;
-    struct event *reaper;
+    struct event *free_timer;
     GBytes *key;
-    const PeerLinkEvents_t *events; /* NULL once closed */
+    const PeerLinkEvents_t *events; /* NULL after the link is closed */
     void *owner;
     gboolean outgoing;
 };
 
 static void
-on_reap(evutil_socket_t fd, short what, void *data)
+on_free(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
     PeerLink_t *this = data;
     bufferevent_free(this->stream);
-    event_free(this->reaper);
+    event_free(this->free_timer);
     g_bytes_unref(this->key);
     g_free(this);
 }
@@ -40,12 +41,12 @@
     if (this->events) {
         this->events = NULL;
         bufferevent_disable(this->stream, EV_READ | EV_WRITE);
-        Clock_arm(this->reaper, 0);
+        Clock_arm(this->free_timer, 0);
     }
 }
 
 static void
-fail(PeerLink_t *this)
+close_and_notify(PeerLink_t *this)
 {
     const PeerLinkEvents_t *events = this->events;
     if (events) {
@@ -55,10 +56,10 @@
 }
 
 static gboolean
-take_message(PeerLink_t *this, const guint8 *frame, gsize size)
+receive_message(PeerLink_t *this, const guint8 *frame, gsize size)
 {
-    const guint8 *payload = frame + HEAD_BYTES;
-    if (!PeerMac_isGood(this->key, payload, size, frame + sizeof(guint32))) {
+    const guint8 *payload = frame + HEADER_BYTES;
+    if (!PeerMac_verify(this->key, payload, size, frame + sizeof(guint32))) {
         return FALSE;
     }
     Wt__PeerMessage *message = wt__peer_message__unpack(NULL, size, payload);
@@ -83,19 +84,19 @@
         }
         size = ntohl(size);
         if (size > PEER_FRAME_MAX) {
-            fail(this);
+            close_and_notify(this);
             return;
         }
-        if (evbuffer_get_length(input) < HEAD_BYTES + size) {
+        if (evbuffer_get_length(input) < HEADER_BYTES + size) {
             return;
         }
         const guint8 *frame =
-            evbuffer_pullup(input, (ev_ssize_t)(HEAD_BYTES + size));
-        if (!take_message(this, frame, size)) {
-            fail(this);
+            evbuffer_pullup(input, (ev_ssize_t)(HEADER_BYTES + size));
+        if (!receive_message(this, frame, size)) {
+            close_and_notify(this);
             return;
         }
-        evbuffer_drain(input, HEAD_BYTES + size);
+        evbuffer_drain(input, HEADER_BYTES + size);
     }
 }
 
@@ -104,18 +105,18 @@
 {
     (void)stream;
     if (!(what & BEV_EVENT_CONNECTED)) {
-        fail(data);
+        close_and_notify(data);
     }
 }
 
 static PeerLink_t *
-create(struct event_base *base, evutil_socket_t fd, GBytes *key,
-       const PeerLinkEvents_t *events, void *owner)
+create_link(struct event_base *base, evutil_socket_t fd, GBytes *key,
+            const PeerLinkEvents_t *events, void *owner)
 {
     PeerLink_t *this = g_new0(PeerLink_t, 1);
     this->stream = bufferevent_socket_new(
         base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
-    this->reaper = Clock_timer(base, on_reap, this);
+    this->free_timer = Clock_timer(base, on_free, this);
     this->key = g_bytes_ref(key);
     this->events = events;
     this->owner = owner;
@@ -130,20 +131,21 @@
 {
     int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-    return create(base, fd, key, events, owner);
+    return create_link(base, fd, key, events, owner);
 }
 
 PeerLink_t *
 PeerLink_connect(struct event_base *base, const Address_t *address,
                  GBytes *key, const PeerLinkEvents_t *events, void *owner)
 {
-    PeerLink_t *this = create(base, -1, key, events, owner);
-    struct sockaddr_in place = {.sin_family = AF_INET,
-                                .sin_port = htons(address->port)};
-    inet_pton(AF_INET, address->host, &place.sin_addr);
+    PeerLink_t *this = create_link(base, -1, key, events, owner);
+    struct sockaddr_in socket_address = {.sin_family = AF_INET,
+                                         .sin_port = htons(address->port)};
+    inet_pton(AF_INET, address->host, &socket_address.sin_addr);
     this->outgoing = TRUE;
-    bufferevent_socket_connect(this->stream, (struct sockaddr *)&place,
-                               sizeof(place));
+    bufferevent_socket_connect(this->stream,
+                               (struct sockaddr *)&socket_address,
+                               sizeof(socket_address));
     int on = 1;
     setsockopt(bufferevent_getfd(this->stream), IPPROTO_TCP, TCP_NODELAY, &on,
                sizeof(on));
@@ -154,17 +156,18 @@
 PeerLink_send(PeerLink_t *this, const Wt__PeerMessage *message)
 {
     gsize size = wt__peer_message__get_packed_size(message);
-    g_autofree guint8 *frame = g_malloc(HEAD_BYTES + size);
+    g_autofree guint8 *frame = g_malloc(HEADER_BYTES + size);
     guint32 length = htonl((guint32)size);
     memcpy(frame, &length, sizeof(length));
-    wt__peer_message__pack(message, frame + HEAD_BYTES);
-    PeerMac_make(this->key, frame + HEAD_BYTES, size, frame + sizeof(length));
-    bufferevent_write(this->stream, frame, HEAD_BYTES + size);
+    wt__peer_message__pack(message, frame + HEADER_BYTES);
+    PeerMac_compute(this->key, frame + HEADER_BYTES, size,
+                    frame + sizeof(length));
+    bufferevent_write(this->stream, frame, HEADER_BYTES + size);
     struct evbuffer *output = bufferevent_get_output(this->stream);
-    if (evbuffer_get_length(output) > OUTPUT_MAX) {
-        fail(this);
+    if (evbuffer_get_length(output) > OUTPUT_MAX_BYTES) {
+        close_and_notify(this);
     }
-    return HEAD_BYTES + size;
+    return HEADER_BYTES + size;
 }
 
 gboolean
--- a/src/PeerMac.c
+++ b/src/PeerMac.c
@@ -3,8 +3,8 @@
 #include <sodium.h>
 
 void
-PeerMac_make(GBytes *key, const guint8 *message, gsize size,
-             guint8 out[PEER_MAC_BYTES])
+PeerMac_compute(GBytes *key, const guint8 *message, gsize size,
+                guint8 out[PEER_MAC_BYTES])
 {
     gsize key_size = 0;
     const guint8 *bytes = g_bytes_get_data(key, &key_size);
@@ -12,10 +12,10 @@
 }
 
 gboolean
-PeerMac_isGood(GBytes *key, const guint8 *message, gsize size,
+PeerMac_verify(GBytes *key, const guint8 *message, gsize size,
                const guint8 mac[PEER_MAC_BYTES])
 {
     guint8 expected[PEER_MAC_BYTES];
-    PeerMac_make(key, message, size, expected);
+    PeerMac_compute(key, message, size, expected);
     return sodium_memcmp(expected, mac, PEER_MAC_BYTES) == 0;
 }
--- a/src/PeerMac.h
+++ b/src/PeerMac.h
@@ -3,21 +3,22 @@
 /**
  * DOC: PeerMac
  *
- * The keyed hash that shows that a message between routers is of one that
- * knows their key, on links (PeerLink.h) and in datagrams (PeerDatagrams.h).
+ * Message authentication code that proves that the sender of a message between
+ * routers has their shared key, on links (PeerLink.h) and in datagrams
+ * (PeerDatagrams.h).
  */
 #include <glib.h>
 
-/** Bytes of the hash, 128 bits: more than can be guessed */
+/** Length of the code; 128 bits are infeasible to guess */
 #define PEER_MAC_BYTES 16
 
-/** PeerMac_make() - the hash of a message under the routers' key */
-void PeerMac_make(GBytes *key, const guint8 *message, gsize size,
-                  guint8 out[PEER_MAC_BYTES]);
+/** PeerMac_compute() - compute the code of a message with the routers' key */
+void PeerMac_compute(GBytes *key, const guint8 *message, gsize size,
+                     guint8 out[PEER_MAC_BYTES]);
 
-/** PeerMac_isGood() - whether a hash is that of the message; in constant
- * time */
-gboolean PeerMac_isGood(GBytes *key, const guint8 *message, gsize size,
+/** PeerMac_verify() - whether a code is that of the message, in constant time
+ */
+gboolean PeerMac_verify(GBytes *key, const guint8 *message, gsize size,
                         const guint8 mac[PEER_MAC_BYTES]);
 
 #endif
--- a/src/PrefixSupply.c
+++ b/src/PrefixSupply.c
@@ -134,9 +134,11 @@
 
 /* A move needs both links, and each link transfers one move at a time. */
 static gint64
-link_wait_us(const Link_t *source, const Link_t *destination, gint64 now_us)
+link_wait_us(const TransferLink_t *source, const TransferLink_t *destination,
+             gint64 now_us)
 {
-    return MAX(Link_waitUs(source, now_us), Link_waitUs(destination, now_us));
+    return MAX(TransferLink_waitUs(source, now_us),
+               TransferLink_waitUs(destination, now_us));
 }
 
 static gint64
@@ -192,7 +194,7 @@
     if (!is_stored(placement, to)) {
         return (Supply_t){.kind = SUPPLY_UNKNOWN};
     }
-    const Link_t *link =
+    const TransferLink_t *link =
         CacheStore_link(placement->cache_store, store_key(placement, to));
     return (Supply_t){
         .kind = SUPPLY_STORE,
@@ -254,10 +256,11 @@
                           placement->prompt_tokens -
                               MIN(held, placement->prompt_tokens));
     if (supply->kind == SUPPLY_ENGINE && supply->source) {
-        Link_begin(&supply->source->link, &to->link, supply->move_us, now_us);
+        TransferLink_reserve(&supply->source->link, &to->link, supply->move_us,
+                             now_us);
     }
     else if (supply->kind == SUPPLY_STORE && placement->cache_store) {
-        Link_begin(
+        TransferLink_reserve(
             CacheStore_link(placement->cache_store, store_key(placement, to)),
             &to->link, supply->move_us, now_us);
     }
--- a/src/RatePeers.c
+++ b/src/RatePeers.c
@@ -36,7 +36,7 @@
 static guint64
 identity_of_member(const Member_t *member)
 {
-    struct sockaddr_in address = PeerDatagrams_address(&member->address);
+    struct sockaddr_in address = PeerDatagrams_toSockaddr(&member->address);
     return identity_of(&address);
 }
 
@@ -44,7 +44,7 @@
 identity_of_seed(const RatePeers_t *this, guint i)
 {
     const Address_t *seed = &g_array_index(this->spec.seeds, Address_t, i);
-    struct sockaddr_in address = PeerDatagrams_address(seed);
+    struct sockaddr_in address = PeerDatagrams_toSockaddr(seed);
     return identity_of(&address);
 }
 
@@ -52,7 +52,7 @@
 local_identity(const RatePeers_t *this)
 {
     struct sockaddr_in address =
-        PeerDatagrams_address(Membership_address(this->spec.membership));
+        PeerDatagrams_toSockaddr(Membership_address(this->spec.membership));
     return identity_of(&address);
 }
 
@@ -85,11 +85,11 @@
     const Member_t *first[RATE_CANDIDATES_MAX];
     char key[KEY_SIZE];
     g_snprintf(key, sizeof(key), "rate/%s", subject);
-    if (!Membership_isSettled(this->spec.membership)) {
+    if (!Membership_isConverged(this->spec.membership)) {
         return find_seed_candidates(this, key, out);
     }
-    guint count = Membership_first(this->spec.membership, key, first,
-                                   RATE_CANDIDATES_MAX);
+    guint count = Membership_findFirst(this->spec.membership, key, first,
+                                       RATE_CANDIDATES_MAX);
     for (guint i = 0; i < count; i++) {
         out[i] = first[i] ? identity_of_member(first[i]) : RATE_SELF;
     }
@@ -100,7 +100,7 @@
 count_routers(void *owner)
 {
     const RatePeers_t *this = owner;
-    return Membership_live(this->spec.membership);
+    return Membership_countActive(this->spec.membership);
 }
 
 /* Draws at even strides from a random start, so that no member is drawn twice.
@@ -173,7 +173,7 @@
     this->spec = *spec;
     this->timer = Clock_timer(base, on_timer, this);
     this->keeper = RateKeeper_create(&links, this, spec->counters);
-    PeerDatagrams_listen(spec->datagrams, on_message, this);
+    PeerDatagrams_addHandler(spec->datagrams, on_message, this);
     return this;
 }
 
--- a/src/RecordRelay.c
+++ b/src/RecordRelay.c
@@ -89,7 +89,7 @@
         Membership_send(this->membership, member, &message);
     }
     else {
-        Membership_sendAll(this->membership, &message);
+        Membership_broadcast(this->membership, &message);
     }
 }
 
--- a/src/RouteSync.c
+++ b/src/RouteSync.c
@@ -237,7 +237,7 @@
 static gint64
 spread_ms(const RouteSync_t *this)
 {
-    gint64 routers = Membership_live(this->spec.membership);
+    gint64 routers = Membership_countActive(this->spec.membership);
     gint64 most_ms = MIN(routers * UNTOLD_SPREAD_MS, UNTOLD_SPREAD_MOST_MS);
     return (gint64)(this->turn * (double)most_ms);
 }
--- a/src/Router.c
+++ b/src/Router.c
@@ -132,7 +132,7 @@
 static guint
 count_routers(const void *owner)
 {
-    return Membership_live(owner);
+    return Membership_countActive(owner);
 }
 
 /* A router that can't be asked still has a share of its own. */
--- a/src/StopPlans.c
+++ b/src/StopPlans.c
@@ -44,7 +44,7 @@
                               Clock_nowMs())) {
         return;
     }
-    Membership_noteUpstream(this->membership, upstream->name->str);
+    Membership_spreadUpstream(this->membership, upstream->name->str);
     Log_begin(LOG_LEVEL_INFO, "upstream_leaving");
     Log_text("upstream", upstream->name->str);
     Log_text("source", "stop_plan");
--- a/src/StreamExchange.c
+++ b/src/StreamExchange.c
@@ -161,8 +161,8 @@
 {
     if (Upstream_noteIncarnation(super->upstream, incarnation,
                                  Clock_nowMs())) {
-        Membership_noteUpstream(super->context->membership,
-                                super->upstream->name->str);
+        Membership_spreadUpstream(super->context->membership,
+                                  super->upstream->name->str);
     }
 }
 
--- a/src/Upstream.h
+++ b/src/Upstream.h
@@ -13,7 +13,7 @@
 
 #include "Declarations.h"
 #include "EngineMemory.h"
-#include "Link.h"
+#include "TransferLink.h"
 #include "UpstreamBackoff.h"
 #include "UpstreamLimit.h"
 
@@ -123,7 +123,7 @@
     UpstreamLimit_t limit;
     UpstreamBackoff_t backoff;
     EngineMemory_t memory;
-    Link_t link;
+    TransferLink_t link;
 
     struct event_base *base;
     GQueue waiters;
--- a/src/UpstreamLimits.c
+++ b/src/UpstreamLimits.c
@@ -153,7 +153,7 @@
     gint64 now_ms = Clock_nowMs();
     TokenBucket_t *bucket = get_bucket(this, target);
     RateLimit_t share = {.per_s = capacity->per_s /
-                                  Membership_live(this->membership)};
+                                  Membership_countActive(this->membership)};
     TokenBucket_setLimit(bucket, &share, now_ms);
     guint queue_ms = TokenBucket_noteRefused(bucket, 1, now_ms);
     guint delay_ms = Random_below(queue_ms) + 1;
--- a/src/UpstreamListing.c
+++ b/src/UpstreamListing.c
@@ -154,7 +154,7 @@
                               Clock_nowMs())) {
         return;
     }
-    Membership_noteUpstream(this->spec.membership, upstream->name->str);
+    Membership_spreadUpstream(this->spec.membership, upstream->name->str);
     log_upstream("upstream_leaving", upstream->name->str, "listed");
 }
 
@@ -218,7 +218,7 @@
         return;
     }
     if (this->spec.membership) {
-        Membership_noteUpstream(this->spec.membership, upstream->name->str);
+        Membership_spreadUpstream(this->spec.membership, upstream->name->str);
     }
     Log_begin(LOG_LEVEL_INFO, "upstream_reborn");
     Log_text("upstream", upstream->name->str);
@@ -435,10 +435,10 @@
     if (!this->spec.membership) {
         return MIN(every_ms, this->spec.poll_ms);
     }
-    if (!Membership_isSettled(this->spec.membership)) {
+    if (!Membership_isConverged(this->spec.membership)) {
         return this->spec.poll_ms;
     }
-    gint64 rank = Membership_rank(this->spec.membership, RANK_KEY, NULL);
+    gint64 rank = Membership_localRank(this->spec.membership, RANK_KEY, NULL);
     gint64 wanted = every_ms + rank * READ_STEP_MS;
     return MIN(wanted, this->spec.poll_ms);
 }
@@ -504,7 +504,7 @@
     (void)fd;
     (void)what;
     UpstreamListing_t *this = data;
-    if (Membership_isSettled(this->spec.membership)) {
+    if (Membership_isConverged(this->spec.membership)) {
         set_reads(this);
     }
     else {
@@ -615,8 +615,9 @@
 static gint64
 spread_ms(const UpstreamListing_t *this)
 {
-    gint64 routers =
-        this->spec.membership ? Membership_live(this->spec.membership) : 1;
+    gint64 routers = this->spec.membership
+                         ? Membership_countActive(this->spec.membership)
+                         : 1;
     gint64 most_ms = MIN(routers * LIST_SPREAD_MS, LIST_SPREAD_MOST_MS);
     return Random_below((guint32)most_ms);
 }
@@ -650,7 +651,7 @@
 static gint64
 turn_ms(const UpstreamListing_t *this)
 {
-    gint64 rank = Membership_rank(this->spec.membership, RANK_KEY, NULL);
+    gint64 rank = Membership_localRank(this->spec.membership, RANK_KEY, NULL);
     gint64 beyond = rank - ENTRIES_AT_ONCE / entries_missing(this);
     gint64 last_ms =
         MAX(MAX(this->current_ms, this->told_ms), this->called_ms);
@@ -664,8 +665,8 @@
 static gint64
 retry_turn_ms(const UpstreamListing_t *this)
 {
-    gint64 rank = Membership_rank(this->spec.membership, RANK_KEY, NULL);
-    gint64 routers = Membership_live(this->spec.membership);
+    gint64 rank = Membership_localRank(this->spec.membership, RANK_KEY, NULL);
+    gint64 routers = Membership_countActive(this->spec.membership);
     gboolean bears = ListCopy_countKeys(this->copy) > 0 &&
                      routers * entries_missing(this) <= ENTRIES_AT_ONCE;
     gint64 step_ms = READ_STEP_MS << MIN(this->retries, RETRY_DOUBLINGS);
--- a/src/UpstreamProber.c
+++ b/src/UpstreamProber.c
@@ -147,8 +147,8 @@
 static gboolean
 is_prober(const UpstreamProber_t *this, const Upstream_t *upstream)
 {
-    return Membership_rank(this->spec.membership, upstream->name->str, NULL) <
-           PROBERS;
+    return Membership_localRank(this->spec.membership, upstream->name->str,
+                                NULL) < PROBERS;
 }
 
 static Probe_t *
--- a/tests/FakeRouters.c
+++ b/tests/FakeRouters.c
@@ -115,7 +115,7 @@
 {
     for (guint i = 0; i < this->count; i++) {
         if (!is_linked(&this->list[i], this->count - 1) ||
-            !Membership_isSettled(this->list[i].membership)) {
+            !Membership_isConverged(this->list[i].membership)) {
             return FALSE;
         }
     }
--- a/tests/fuzz/peers.c
+++ b/tests/fuzz/peers.c
@@ -75,10 +75,10 @@
     UpstreamSet_t *upstreams = NULL;
     Counters_t *counters = NULL;
     Gossip_t *gossip = make_gossip(&table, &upstreams, &counters);
-    Gossip_take(gossip, message);
-    Gossip_take(gossip, message);
+    Gossip_receive(gossip, message);
+    Gossip_receive(gossip, message);
     check_facts(message, table, upstreams);
-    Gossip_introduce(gossip, MemberTable_findOrMake(table, "linked"));
+    Gossip_syncPeer(gossip, MemberTable_findOrCreate(table, "linked"));
     Gossip_tick(gossip);
     Gossip_destroy(gossip);
     Counters_destroy(counters);
@@ -268,9 +268,9 @@
 {
     GBytes *key = g_bytes_new_static(MAC_KEY, strlen(MAC_KEY));
     guint8 mac[PEER_MAC_BYTES];
-    PeerMac_make(key, data, size, mac);
-    g_assert(PeerMac_isGood(key, data, size, mac));
-    g_assert(size < PEER_MAC_BYTES || !PeerMac_isGood(key, data, size, data));
+    PeerMac_compute(key, data, size, mac);
+    g_assert(PeerMac_verify(key, data, size, mac));
+    g_assert(size < PEER_MAC_BYTES || !PeerMac_verify(key, data, size, data));
     g_bytes_unref(key);
     Wt__PeerMessage *message = wt__peer_message__unpack(NULL, size, data);
     if (!message) {
@@ -362,7 +362,7 @@
     g_autofree guint8 *framed = g_malloc(framed_size);
     guint32 head = htonl((guint32)size);
     memcpy(framed, &head, sizeof(head));
-    PeerMac_make(key, data, size, framed + sizeof(head));
+    PeerMac_compute(key, data, size, framed + sizeof(head));
     memcpy(framed + sizeof(head) + PEER_MAC_BYTES, data, size);
     heard = send_pieces(key, framed, framed_size,
                         size > 0 ? data[0] % framed_size : 0);
--- a/tests/test_AcceptHold.c
+++ b/tests/test_AcceptHold.c
@@ -5,9 +5,9 @@
 #include "AcceptHold.h"
 #include "Clock.h"
 
-/* Several looks of the hold. */
-#define LOOKS_MS 50
-/* For a busy machine. */
+/* Long enough for several checks of the hold. */
+#define CHECKS_MS 50
+/* Allowance for delays on a busy machine. */
 #define MARGIN_MS 1000
 
 static struct event_base *base;
@@ -37,7 +37,7 @@
 }
 
 static void
-listen_here(struct sockaddr_in *address)
+start_listening(struct sockaddr_in *address)
 {
     memset(address, 0, sizeof(*address));
     address->sin_family = AF_INET;
@@ -51,15 +51,15 @@
                 &length);
 }
 
-/* One caller is connected, and waits. */
+/* Starts the hold, with one caller connected. */
 static void
-begin(void)
+set_up(void)
 {
     struct sockaddr_in address;
     known = FALSE;
     accepted = 0;
     base = event_base_new();
-    listen_here(&address);
+    start_listening(&address);
     AcceptHoldSpec_t spec = {.listener = listener, .is_known = is_known};
     hold = AcceptHold_create(base, &spec);
     caller = socket(AF_INET, SOCK_STREAM, 0);
@@ -68,7 +68,7 @@
 }
 
 static void
-end(void)
+tear_down(void)
 {
     evutil_closesocket(caller);
     AcceptHold_destroy(hold);
@@ -85,44 +85,45 @@
     }
 }
 
-START_TEST(a_caller_is_left_until_enough_is_known)
+START_TEST(caller_is_not_accepted_until_enough_is_known)
 {
-    begin();
-    run_until(Clock_nowMs() + LOOKS_MS, FALSE);
+    set_up();
+    run_until(Clock_nowMs() + CHECKS_MS, FALSE);
     ck_assert_uint_eq(accepted, 0);
     ck_assert(!AcceptHold_isOver(hold));
     known = TRUE;
     run_until(Clock_nowMs() + MARGIN_MS, TRUE);
     ck_assert_uint_eq(accepted, 1);
     ck_assert(AcceptHold_isOver(hold));
-    end();
+    tear_down();
 }
 END_TEST
 
-START_TEST(a_caller_is_taken_after_a_bounded_time)
+START_TEST(caller_is_accepted_after_a_bounded_time)
 {
-    begin();
-    gint64 began_ms = Clock_nowMs();
-    run_until(began_ms + ACCEPT_HOLD_MS + MARGIN_MS, TRUE);
+    set_up();
+    gint64 started_ms = Clock_nowMs();
+    run_until(started_ms + ACCEPT_HOLD_MAX_MS + MARGIN_MS, TRUE);
     ck_assert_uint_eq(accepted, 1);
-    ck_assert_int_ge(Clock_nowMs() - began_ms, ACCEPT_HOLD_MS - LOOKS_MS);
-    end();
+    ck_assert_int_ge(Clock_nowMs() - started_ms,
+                     ACCEPT_HOLD_MAX_MS - CHECKS_MS);
+    tear_down();
 }
 END_TEST
 
-START_TEST(once_over_it_never_holds_again)
+START_TEST(hold_does_not_resume_after_its_end)
 {
-    begin();
+    set_up();
     known = TRUE;
     run_until(Clock_nowMs() + MARGIN_MS, TRUE);
     known = FALSE;
-    run_until(Clock_nowMs() + LOOKS_MS, FALSE);
+    run_until(Clock_nowMs() + CHECKS_MS, FALSE);
     ck_assert(AcceptHold_isOver(hold));
     ck_assert_uint_eq(accepted, 1);
-    end();
+    tear_down();
 }
 END_TEST
 
-TESTING_MAIN("AcceptHold", a_caller_is_left_until_enough_is_known,
-             a_caller_is_taken_after_a_bounded_time,
-             once_over_it_never_holds_again)
+TESTING_MAIN("AcceptHold", caller_is_not_accepted_until_enough_is_known,
+             caller_is_accepted_after_a_bounded_time,
+             hold_does_not_resume_after_its_end)
--- a/tests/test_CacheStore.c
+++ b/tests/test_CacheStore.c
@@ -23,11 +23,15 @@
 START_TEST(each_copy_has_its_own_link)
 {
     CacheStore_t *store = create(3);
-    Link_t destination = {0};
-    Link_begin(CacheStore_link(store, 3), &destination, 50000, NOW_US);
-    ck_assert_int_eq(Link_waitUs(CacheStore_link(store, 3), NOW_US), 50000);
-    ck_assert_int_eq(Link_waitUs(CacheStore_link(store, 6), NOW_US), 50000);
-    ck_assert_int_eq(Link_waitUs(CacheStore_link(store, 4), NOW_US), 0);
+    TransferLink_t destination = {0};
+    TransferLink_reserve(CacheStore_link(store, 3), &destination, 50000,
+                         NOW_US);
+    ck_assert_int_eq(TransferLink_waitUs(CacheStore_link(store, 3), NOW_US),
+                     50000);
+    ck_assert_int_eq(TransferLink_waitUs(CacheStore_link(store, 6), NOW_US),
+                     50000);
+    ck_assert_int_eq(TransferLink_waitUs(CacheStore_link(store, 4), NOW_US),
+                     0);
     ck_assert_int_eq(CacheStore_localUs(store, NOW_US), 50000);
     ck_assert_str_eq(CacheStore_hall(store, 4), "b");
     CacheStore_destroy(store);
@@ -38,8 +42,10 @@
 {
     CacheStore_t *store = create(3);
     CacheStore_setOthersUs(store, 90000);
-    ck_assert_int_eq(Link_waitUs(CacheStore_link(store, 0), NOW_US), 30000);
-    ck_assert_int_eq(Link_waitUs(CacheStore_link(store, 2), NOW_US), 30000);
+    ck_assert_int_eq(TransferLink_waitUs(CacheStore_link(store, 0), NOW_US),
+                     30000);
+    ck_assert_int_eq(TransferLink_waitUs(CacheStore_link(store, 2), NOW_US),
+                     30000);
     CacheStore_destroy(store);
 }
 END_TEST
@@ -47,11 +53,11 @@
 START_TEST(links_in_use_survive_a_change_of_copies)
 {
     CacheStore_t *store = create(3);
-    Link_t *removed = CacheStore_link(store, 2);
+    TransferLink_t *removed = CacheStore_link(store, 2);
     g_autoptr(GPtrArray) halls = g_ptr_array_new();
     CacheStore_setCopies(store, halls);
     ck_assert_ptr_eq(CacheStore_link(store, 1), CacheStore_link(store, 2));
-    Link_noteExcess(removed, 1000, NOW_US / 1000);
+    TransferLink_noteExcess(removed, 1000, NOW_US / 1000);
     g_ptr_array_add(halls, (gpointer) "x");
     g_ptr_array_add(halls, (gpointer) "y");
     CacheStore_setCopies(store, halls);
--- a/tests/test_Dispatch.c
+++ b/tests/test_Dispatch.c
@@ -125,7 +125,7 @@
         PeerDatagrams_create(routers.base, Membership_address(peer_membership),
                              Membership_key(router_membership), NULL);
     ck_assert_ptr_nonnull(peer_datagrams);
-    PeerDatagrams_listen(peer_datagrams, store_message, NULL);
+    PeerDatagrams_addHandler(peer_datagrams, store_message, NULL);
 }
 
 static void
@@ -184,8 +184,8 @@
 static void
 send_to_router(const Wt__PeerMessage *message)
 {
-    struct sockaddr_in to =
-        PeerDatagrams_address(Membership_address(routers.list[0].membership));
+    struct sockaddr_in to = PeerDatagrams_toSockaddr(
+        Membership_address(routers.list[0].membership));
     PeerDatagrams_send(peer_datagrams, &to, message);
 }
 
--- a/tests/test_FreshnessRelay.c
+++ b/tests/test_FreshnessRelay.c
@@ -110,8 +110,8 @@
     take(7, 300);
     ck_assert_uint_eq(fresh_calls, 1);
     ck_assert_uint_eq(fresh_offset, 7);
-    ck_assert_int_ge(fresh_at_ms, before_ms - 300 - PEER_TRANSIT_MS);
-    ck_assert_int_le(fresh_at_ms, Clock_nowMs() - 300 - PEER_TRANSIT_MS);
+    ck_assert_int_ge(fresh_at_ms, before_ms - 300 - PEER_TRANSIT_MAX_MS);
+    ck_assert_int_le(fresh_at_ms, Clock_nowMs() - 300 - PEER_TRANSIT_MAX_MS);
     end();
 }
 END_TEST
@@ -183,7 +183,8 @@
     const Wt__PeerMessage *message =
         FakeRouters_find(&routers, 1, WT__PEER_MESSAGE__BODY_CONFIG_CURRENT);
     ck_assert_uint_eq(message->config_current->offset, 7);
-    ck_assert_uint_ge(message->config_current->age_ms, 1000 + PEER_TRANSIT_MS);
+    ck_assert_uint_ge(message->config_current->age_ms,
+                      1000 + PEER_TRANSIT_MAX_MS);
     end();
 }
 END_TEST
--- a/tests/test_Gossip.c
+++ b/tests/test_Gossip.c
@@ -9,7 +9,7 @@
 static Gossip_t *gossip;
 
 static void
-begin(void)
+set_up(void)
 {
     table = MemberTable_create("r0", "h", 1);
     upstreams = UpstreamSet_create(NULL, 0);
@@ -18,7 +18,7 @@
 }
 
 static void
-end(void)
+tear_down(void)
 {
     Gossip_destroy(gossip);
     Counters_destroy(counters);
@@ -26,10 +26,11 @@
     MemberTable_destroy(table);
 }
 
-/* A heartbeat alone names neither address nor hall. */
+/* Receives a fact of router r1; an empty address makes it a heartbeat, without
+ * address and hall. */
 static void
-take(guint64 incarnation, guint64 heartbeat, const char *address,
-     gboolean leaving)
+receive_fact(guint64 incarnation, guint64 heartbeat, const char *address,
+             gboolean leaving)
 {
     Wt__MemberFact fact = WT__MEMBER_FACT__INIT;
     Wt__MemberFact *facts = &fact;
@@ -42,88 +43,84 @@
     fact.leaving = leaving;
     message.n_members = 1;
     message.members = &facts;
-    Gossip_take(gossip, &message);
+    Gossip_receive(gossip, &message);
 }
 
 static const Member_t *
-member(void)
+find_member(void)
 {
     return MemberTable_find(table, "r1");
 }
 
-/* Symptom: of some routers others knew neither address nor hall for as long as
- * they ran, so that questions for them went to no port.
- * Sequence: a router is first heard of by a heartbeat; the fact in full comes
- * after it and has the same count.
- * Cause: what is no newer was passed over as a whole.
- * Settled by: six routers on one loop, of which after eight seconds four
- * links had no address of their peer. */
-START_TEST(a_fact_in_full_counts_after_its_own_heartbeat)
+/* Guards against a router whose address and hall stay unknown. A heartbeat may
+ * arrive before the full fact with the same count, which was then ignored as
+ * not newer, so that queries to the router went to no port. */
+START_TEST(full_fact_is_applied_after_its_own_heartbeat)
 {
-    begin();
-    take(1, 3, "", FALSE);
-    ck_assert_uint_eq(member()->address.port, 0);
-    take(1, 3, "127.0.0.1:7", FALSE);
-    ck_assert_uint_eq(member()->address.port, 7);
-    ck_assert_str_eq(member()->hall->str, "h");
-    end();
+    set_up();
+    receive_fact(1, 3, "", FALSE);
+    ck_assert_uint_eq(find_member()->address.port, 0);
+    receive_fact(1, 3, "127.0.0.1:7", FALSE);
+    ck_assert_uint_eq(find_member()->address.port, 7);
+    ck_assert_str_eq(find_member()->hall->str, "h");
+    tear_down();
 }
 END_TEST
 
-START_TEST(an_older_fact_in_full_still_tells_an_unknown_address)
+START_TEST(older_full_fact_supplies_an_unknown_address)
 {
-    begin();
-    take(1, 5, "", FALSE);
-    take(1, 3, "127.0.0.1:7", FALSE);
-    ck_assert_uint_eq(member()->address.port, 7);
-    ck_assert_uint_eq(member()->heartbeat, 5);
-    end();
+    set_up();
+    receive_fact(1, 5, "", FALSE);
+    receive_fact(1, 3, "127.0.0.1:7", FALSE);
+    ck_assert_uint_eq(find_member()->address.port, 7);
+    ck_assert_uint_eq(find_member()->heartbeat, 5);
+    tear_down();
 }
 END_TEST
 
-START_TEST(a_router_that_came_back_elsewhere_is_known_to_be_there)
+START_TEST(restarted_router_is_known_at_its_new_address)
 {
-    begin();
-    take(1, 3, "127.0.0.1:7", FALSE);
-    take(2, 1, "", FALSE);
-    take(2, 1, "127.0.0.1:8", FALSE);
-    ck_assert_uint_eq(member()->address.port, 8);
-    take(1, 3, "127.0.0.1:7", FALSE);
-    ck_assert_uint_eq(member()->address.port, 8);
-    end();
+    set_up();
+    receive_fact(1, 3, "127.0.0.1:7", FALSE);
+    receive_fact(2, 1, "", FALSE);
+    receive_fact(2, 1, "127.0.0.1:8", FALSE);
+    ck_assert_uint_eq(find_member()->address.port, 8);
+    receive_fact(1, 3, "127.0.0.1:7", FALSE);
+    ck_assert_uint_eq(find_member()->address.port, 8);
+    tear_down();
 }
 END_TEST
 
-START_TEST(an_older_incarnation_tells_nothing)
+START_TEST(fact_of_an_older_incarnation_is_ignored)
 {
-    begin();
-    take(2, 1, "", FALSE);
-    take(1, 9, "127.0.0.1:7", TRUE);
-    ck_assert_uint_eq(member()->address.port, 0);
-    ck_assert(!member()->leaving);
-    ck_assert_uint_eq(member()->incarnation, 2);
-    end();
+    set_up();
+    receive_fact(2, 1, "", FALSE);
+    receive_fact(1, 9, "127.0.0.1:7", TRUE);
+    ck_assert_uint_eq(find_member()->address.port, 0);
+    ck_assert(!find_member()->leaving);
+    ck_assert_uint_eq(find_member()->incarnation, 2);
+    tear_down();
 }
 END_TEST
 
-START_TEST(leaving_is_not_taken_back_by_what_comes_late_or_twice)
+START_TEST(leaving_is_not_reset_by_late_or_repeated_facts)
 {
-    begin();
-    take(1, 3, "127.0.0.1:7", FALSE);
-    take(1, 4, "127.0.0.1:7", TRUE);
-    take(1, 4, "127.0.0.1:7", TRUE);
-    take(1, 3, "127.0.0.1:7", FALSE);
-    take(1, 5, "", FALSE);
-    ck_assert(member()->leaving);
-    take(2, 1, "127.0.0.1:8", FALSE);
-    ck_assert(!member()->leaving);
-    ck_assert_uint_eq(member()->address.port, 8);
-    end();
+    set_up();
+    receive_fact(1, 3, "127.0.0.1:7", FALSE);
+    receive_fact(1, 4, "127.0.0.1:7", TRUE);
+    receive_fact(1, 4, "127.0.0.1:7", TRUE);
+    receive_fact(1, 3, "127.0.0.1:7", FALSE);
+    receive_fact(1, 5, "", FALSE);
+    ck_assert(find_member()->leaving);
+    receive_fact(2, 1, "127.0.0.1:8", FALSE);
+    ck_assert(!find_member()->leaving);
+    ck_assert_uint_eq(find_member()->address.port, 8);
+    tear_down();
 }
 END_TEST
 
-TESTING_MAIN("Gossip", a_fact_in_full_counts_after_its_own_heartbeat,
-             an_older_fact_in_full_still_tells_an_unknown_address,
-             a_router_that_came_back_elsewhere_is_known_to_be_there,
-             an_older_incarnation_tells_nothing,
-             leaving_is_not_taken_back_by_what_comes_late_or_twice)
+TESTING_MAIN("Gossip", full_fact_is_applied_after_its_own_heartbeat,
+             older_full_fact_supplies_an_unknown_address,
+             restarted_router_is_known_at_its_new_address,
+             fact_of_an_older_incarnation_is_ignored,
+             leaving_is_not_reset_by_late_or_repeated_facts)
--- a/tests/test_Membership.c
+++ b/tests/test_Membership.c
@@ -3,14 +3,14 @@
 #include "FakeRouters.h"
 
 #define ROUTERS 6
-#define MESH 16
-/* Ten times as long as a link takes until all that is urgent was told. */
-#define SETTLE_MS 1000
+#define MESH_ROUTERS 16
+/* Ten times the time that a new link takes to carry all urgent updates. */
+#define CONVERGE_MS 1000
 
 static FakeRouters_t routers;
 
 static guint
-places_known(const FakeRouter_t *router)
+count_addressed(const FakeRouter_t *router)
 {
     const GPtrArray *members = Membership_members(router->membership);
     guint known = 0;
@@ -21,112 +21,108 @@
     return known;
 }
 
-/* Symptom: after a start of all routers some never learned where a peer that
- * they are linked with stands and listens.
- * Sequence: all routers start at once; each spreads its own fact in full a few
- * times, over the first links that it has; links that come up later bring
- * heartbeats only.
- * Cause: a new link was told of its router by chance alone.
- * Settled by: facts in full that six routers sent each other, of which some
- * links had none, while all had heartbeats. */
-START_TEST(routers_that_are_linked_know_where_the_other_one_is)
+/* Guards against a router that never learns the address and hall of a linked
+ * peer. When all routers start at once, each sends its full fact a few times
+ * over its first links; links that come up later carried only heartbeats, as a
+ * new link was sent the full fact only by chance. */
+START_TEST(linked_routers_know_the_address_and_hall_of_their_peer)
 {
-    FakeRouters_init(&routers, ROUTERS, MESH);
-    FakeRouters_run(&routers, SETTLE_MS);
+    FakeRouters_init(&routers, ROUTERS, MESH_ROUTERS);
+    FakeRouters_run(&routers, CONVERGE_MS);
     for (guint i = 0; i < ROUTERS; i++) {
-        ck_assert_uint_eq(places_known(&routers.list[i]), ROUTERS - 1);
+        ck_assert_uint_eq(count_addressed(&routers.list[i]), ROUTERS - 1);
     }
     FakeRouters_clear(&routers);
 }
 END_TEST
 
-/* Routers of a herd, which know the first few of them and have the budget of
- * a small machine. */
-#define HERD 60
-#define HERD_SEEDS 3
-#define HERD_BUDGET 2000
-/* A few turns of looking for peers, one second each. */
-#define HERD_MS 5000
-
-/* Symptom: of 295 routers that started at once the mean one knew 12 others
- * after 2 s and 83 after 14 s, so that dozens took themselves for the one that
- * places for a group of engines, or that reads the store for all.
- * Sequence: all routers start at once and know three seeds; links come up, and
- * each router spreads the facts of all that it hears of.
- * Cause: each fact was sent 19 times over links drawn by chance, under a
- * budget of 2000 bytes a second for all of it.
- * Settled by: member_joined lines of 43 of the routers; here 60 routers, of
- * which the first one knew 52 after 5 s. */
-START_TEST(routers_that_start_at_once_know_each_other_soon)
+/* A fleet whose routers know its first few routers as seeds and have the
+ * budget of a small machine. */
+#define FLEET_ROUTERS 60
+#define FLEET_SEEDS 3
+#define FLEET_BUDGET 2000
+/* Time for a few attempts to find peers, one second each. */
+#define FLEET_MS 5000
+
+/* Guards against slow discovery when all routers start at once with three
+ * seeds. Each fact was sent 19 times over random links, under a budget of 2000
+ * bytes per second for all facts, so that dozens of routers each ranked
+ * themselves first to place requests on a group of engines or to read the
+ * store for all. */
+START_TEST(routers_that_start_at_once_know_each_other_within_seconds)
 {
-    FakeRouters_start(&routers, HERD, MESH, HERD_SEEDS, HERD_BUDGET);
-    FakeRouters_run(&routers, HERD_MS);
-    for (guint i = 0; i < HERD; i++) {
-        ck_assert_uint_eq(places_known(&routers.list[i]), HERD - 1);
+    FakeRouters_start(&routers, FLEET_ROUTERS, MESH_ROUTERS, FLEET_SEEDS,
+                      FLEET_BUDGET);
+    FakeRouters_run(&routers, FLEET_MS);
+    for (guint i = 0; i < FLEET_ROUTERS; i++) {
+        ck_assert_uint_eq(count_addressed(&routers.list[i]),
+                          FLEET_ROUTERS - 1);
     }
     FakeRouters_clear(&routers);
 }
 END_TEST
 
-/* So little that what is told over links unasked is spent before a third of
- * the routers is known. */
+/* So small that the allowance is spent on updates before a third of the
+ * routers is known. */
 #define SMALL_BUDGET 110
 
-/* Facts of a start over each link are more than its allowance where routers
- * are many: a third of 1,000 was known, and others never. */
-START_TEST(routers_know_each_other_whatever_may_be_told_unasked)
+/* Guards against routers that stay unknown in large fleets, where the facts of
+ * a start over each link exceed the allowance: a third of 1,000 routers was
+ * known, and the others never became known. */
+START_TEST(routers_know_each_other_when_the_allowance_is_spent)
 {
-    FakeRouters_start(&routers, HERD, MESH, HERD_SEEDS, SMALL_BUDGET);
-    FakeRouters_run(&routers, HERD_MS);
-    for (guint i = 0; i < HERD; i++) {
-        ck_assert_uint_eq(places_known(&routers.list[i]), HERD - 1);
+    FakeRouters_start(&routers, FLEET_ROUTERS, MESH_ROUTERS, FLEET_SEEDS,
+                      SMALL_BUDGET);
+    FakeRouters_run(&routers, FLEET_MS);
+    for (guint i = 0; i < FLEET_ROUTERS; i++) {
+        ck_assert_uint_eq(count_addressed(&routers.list[i]),
+                          FLEET_ROUTERS - 1);
     }
     FakeRouters_clear(&routers);
 }
 END_TEST
 
-/* Links of the first ones are made by then. */
-#define FIRST 24
+/* Time by which the first routers have opened their links. */
+#define FIRST_ROUTERS 24
 #define FIRST_MS 700
 
-/* Symptom: a customer was let in above its limit: eight of 90 routers each
- * took themselves for the one that keeps its count, and let in what came to
- * them besides. Forty routers knew 53 to 80 of the 89 others, for as long as
- * the limit was passed. Sequence: some routers start half a second before the
- * others and have all the links that they want when those come, which link
- * them. Cause: news goes to those that made a link first, and nobody asks for
- * it: the first ones tell the others, and are told by none of them. Settled
- * by: member_joined lines, 41 of 89 in the first half second and one in a
- * second or two afterwards, and request_done lines with rate_by=self of eight
- * routers, 1.56 s of the customer's rate in 8 s. */
-START_TEST(routers_that_start_first_know_those_that_come_later)
+/* Guards against a customer that exceeds its limit because several routers
+ * each take themselves for the keeper of its count. Routers that start half a
+ * second before the others have all the links that they want when the others
+ * link to them. Updates go first to peers that opened the link, and no router
+ * queried for them, so that the first routers sent updates to the others and
+ * received none from them. */
+START_TEST(routers_that_start_first_know_routers_that_start_later)
 {
-    FakeRouters_start(&routers, FIRST, MESH, HERD_SEEDS, HERD_BUDGET);
+    FakeRouters_start(&routers, FIRST_ROUTERS, MESH_ROUTERS, FLEET_SEEDS,
+                      FLEET_BUDGET);
     FakeRouters_run(&routers, FIRST_MS);
-    FakeRouters_join(&routers, HERD - FIRST, MESH, HERD_SEEDS, HERD_BUDGET);
-    FakeRouters_run(&routers, HERD_MS);
-    for (guint i = 0; i < HERD; i++) {
-        ck_assert_uint_eq(places_known(&routers.list[i]), HERD - 1);
+    FakeRouters_join(&routers, FLEET_ROUTERS - FIRST_ROUTERS, MESH_ROUTERS,
+                     FLEET_SEEDS, FLEET_BUDGET);
+    FakeRouters_run(&routers, FLEET_MS);
+    for (guint i = 0; i < FLEET_ROUTERS; i++) {
+        ck_assert_uint_eq(count_addressed(&routers.list[i]),
+                          FLEET_ROUTERS - 1);
     }
     FakeRouters_clear(&routers);
 }
 END_TEST
 
 #define HALLS 6
-#define OF_HALL 20
-#define NEAR_LEAST 5
-#define FAR_LEAST 3
+#define ROUTERS_PER_HALL 20
+#define LOCAL_MIN 5
+#define REMOTE_MIN 3
 
-/* Any pointer that is no NULL: links are compared with it alone. */
+/* Any pointer that is not NULL: the tests only check whether a link is set. */
 static PeerLink_t *const some_link = (PeerLink_t *)&routers;
 
 static MemberTable_t *
 make_table(void)
 {
     MemberTable_t *table = MemberTable_create("r50", "h0", 1);
-    for (guint i = 0; i < HALLS * OF_HALL; i++) {
+    for (guint i = 0; i < HALLS * ROUTERS_PER_HALL; i++) {
         g_autofree char *name = g_strdup_printf("r%u", 100 + i);
-        Member_t *member = MemberTable_findOrMake(table, name);
+        Member_t *member = MemberTable_findOrCreate(table, name);
         g_string_printf(member->hall, "h%u", i % HALLS);
         member->link = some_link;
     }
@@ -143,57 +139,62 @@
 }
 
 static guint
-near_fed(MemberTable_t *table)
+count_local_update_peers(MemberTable_t *table)
 {
-    const GPtrArray *linked = MemberTable_linked(table);
-    guint near = 0;
-    for (guint i = 0; i < MIN(linked->len, MEMBER_TABLE_FED); i++) {
-        near += MemberTable_isOfHall(table, g_ptr_array_index(linked, i));
+    const GPtrArray *linked = MemberTable_listLinked(table);
+    guint local = 0;
+    for (guint i = 0; i < MIN(linked->len, MEMBER_TABLE_UPDATE_PEERS); i++) {
+        local +=
+            MemberTable_isInLocalHall(table, g_ptr_array_index(linked, i));
     }
-    return near;
+    return local;
 }
 
-/* News that crosses between halls costs more, but must cross. */
-START_TEST(most_that_are_told_news_are_of_the_own_hall)
+/* Updates between halls cost more, but some have to cross. */
+START_TEST(most_update_peers_are_in_the_local_hall)
 {
     MemberTable_t *table = make_table();
-    ck_assert_uint_ge(near_fed(table), NEAR_LEAST);
-    ck_assert_uint_le(near_fed(table), MEMBER_TABLE_FED - FAR_LEAST);
-    ck_assert_uint_eq(MemberTable_linked(table)->len, HALLS * OF_HALL);
+    ck_assert_uint_ge(count_local_update_peers(table), LOCAL_MIN);
+    ck_assert_uint_le(count_local_update_peers(table),
+                      MEMBER_TABLE_UPDATE_PEERS - REMOTE_MIN);
+    ck_assert_uint_eq(MemberTable_listLinked(table)->len,
+                      HALLS * ROUTERS_PER_HALL);
     g_string_assign(table->self.hall, "elsewhere");
-    ck_assert_uint_eq(near_fed(table), 0);
-    ck_assert_uint_eq(MemberTable_linked(table)->len, HALLS * OF_HALL);
+    ck_assert_uint_eq(count_local_update_peers(table), 0);
+    ck_assert_uint_eq(MemberTable_listLinked(table)->len,
+                      HALLS * ROUTERS_PER_HALL);
     free_table(table);
 }
 END_TEST
 
-/* Any of those in the hall, but the first by name. */
-#define ASKING 7
-
-/* Symptom: after a start of 60 routers at once one of the last knew the places
- * of 25 to 45 others only, and no more of them 8 s later, in a fifth of runs.
- * Sequence: it hears of few and links its seeds and those; each of the six has
- * more links than it tells news over.
- * Cause: whom a router tells was drawn by name alone, so that one could be
- * told by none of those that it had linked.
- * Settled by: places and links of all routers by the second, where the one
- * that missed them had six links and 25 places from its first second on. */
-START_TEST(those_that_made_the_link_are_told_news_first)
+/* Index in the local hall of the router with the incoming link; not the first
+ * by name. */
+#define INCOMING_INDEX 7
+
+/* Guards against a router that stays without updates after a start of all
+ * routers. When update peers were chosen by name alone, a router could be sent
+ * updates by none of the peers that it linked to, as each peer has more links
+ * than update peers; it knew only the routers of its first second. */
+START_TEST(peers_with_incoming_links_are_update_peers_first)
 {
     MemberTable_t *table = make_table();
-    g_autofree char *name = g_strdup_printf("r%u", 100 + ASKING * HALLS);
-    Member_t *asking = MemberTable_find(table, name);
-    ck_assert_ptr_ne(g_ptr_array_index(MemberTable_linked(table), 0), asking);
-    asking->asked = TRUE;
-    ck_assert_ptr_eq(g_ptr_array_index(MemberTable_linked(table), 0), asking);
-    ck_assert_uint_ge(near_fed(table), NEAR_LEAST);
+    g_autofree char *name =
+        g_strdup_printf("r%u", 100 + INCOMING_INDEX * HALLS);
+    Member_t *incoming = MemberTable_find(table, name);
+    ck_assert_ptr_ne(g_ptr_array_index(MemberTable_listLinked(table), 0),
+                     incoming);
+    incoming->is_incoming = TRUE;
+    ck_assert_ptr_eq(g_ptr_array_index(MemberTable_listLinked(table), 0),
+                     incoming);
+    ck_assert_uint_ge(count_local_update_peers(table), LOCAL_MIN);
     free_table(table);
 }
 END_TEST
 
-TESTING_MAIN("Membership", routers_that_are_linked_know_where_the_other_one_is,
-             routers_that_start_at_once_know_each_other_soon,
-             routers_know_each_other_whatever_may_be_told_unasked,
-             routers_that_start_first_know_those_that_come_later,
-             most_that_are_told_news_are_of_the_own_hall,
-             those_that_made_the_link_are_told_news_first)
+TESTING_MAIN("Membership",
+             linked_routers_know_the_address_and_hall_of_their_peer,
+             routers_that_start_at_once_know_each_other_within_seconds,
+             routers_know_each_other_when_the_allowance_is_spent,
+             routers_that_start_first_know_routers_that_start_later,
+             most_update_peers_are_in_the_local_hall,
+             peers_with_incoming_links_are_update_peers_first)
--- a/tests/test_RouteSync.c
+++ b/tests/test_RouteSync.c
@@ -34,7 +34,7 @@
 #define OUTAGE_MS 4600
 #define OUTAGE_ASKS_MOST 2
 /* More than is added to the age of what a peer tells. */
-#define NEWS_AFTER_MS (PEER_TRANSIT_MS + 150)
+#define NEWS_AFTER_MS (PEER_TRANSIT_MAX_MS + 150)
 
 /* One call to the store that a test has not answered. */
 typedef struct {
@@ -128,8 +128,8 @@
 static gboolean
 reads_for_others(guint which)
 {
-    return Membership_rank(routers.list[which].membership, "freshness", NULL) <
-           READERS;
+    return Membership_localRank(routers.list[which].membership, "freshness",
+                                NULL) < READERS;
 }
 
 /* A router that reads for others, or one that they read for. */
@@ -322,7 +322,7 @@
     gint64 before_ms = current_ms();
     tell(10, 50);
     ck_assert_int_gt(current_ms(), before_ms);
-    ck_assert_int_ge(age_ms(), 50 + PEER_TRANSIT_MS);
+    ck_assert_int_ge(age_ms(), 50 + PEER_TRANSIT_MAX_MS);
     ck_assert_uint_eq(calls.made, 2);
     end();
 }
@@ -432,7 +432,8 @@
     gint64 began_ms = Clock_nowMs();
     tell(10, 0);
     await_calls(3);
-    ck_assert_int_ge(Clock_nowMs() - began_ms, UNTOLD_MS - PEER_TRANSIT_MS);
+    ck_assert_int_ge(Clock_nowMs() - began_ms,
+                     UNTOLD_MS - PEER_TRANSIT_MAX_MS);
     ck_assert_int_eq(call_at(1)->wait_ms, 0);
     answer(1, 10, NULL, NULL, 0);
     ck_assert_int_lt(age_ms(), UNTOLD_MS);
--- a/tests/test_Suspension.c
+++ b/tests/test_Suspension.c
@@ -1,11 +1,10 @@
-/* A machine may be suspended for seconds: no process runs, the monotonic clock
- * stands still meanwhile, and the time of day and CLOCK_BOOTTIME go on. A
- * router that reckoned ages by the monotonic clock took what it had known
- * before a suspension of 30 s for as fresh as then: a key revoked meanwhile
- * was let in, a peer's word counted as new, weights named before it were not
- * overdue. Settled by reading: 290 places asked the monotonic clock, one, the
- * lease, CLOCK_BOOTTIME. Here the system's clock is moved as by a suspension.
- */
+/* Guards against ages that leave out a suspension of the machine. The
+ * monotonic clock stops while a machine is suspended; the time of day and
+ * CLOCK_BOOTTIME continue. When ages were computed with the monotonic clock, a
+ * router treated what it had known before a suspension of 30 s as still fresh:
+ * it accepted a key revoked meanwhile, took a peer's message for new, and did
+ * not treat weights named before as overdue. The tests advance the system's
+ * clocks as a suspension does. */
 #include <sys/syscall.h>
 #include <time.h>
 #include <unistd.h>
@@ -19,7 +18,7 @@
 
 static gint64 suspended_s;
 
-/* Takes the place of the C library's in this program. */
+/* Overrides the function of the C library in this program. */
 int
 clock_gettime(clockid_t clock, struct timespec *out)
 {
@@ -30,7 +29,7 @@
     return failed;
 }
 
-static const gint64 spans_s[] = {1, 5, 30};
+static const gint64 suspensions_s[] = {1, 5, 30};
 
 static void
 suspend(gint64 seconds)
@@ -38,7 +37,7 @@
     suspended_s += seconds;
 }
 
-START_TEST(test_the_clock_counts_a_suspension)
+START_TEST(test_clock_includes_a_suspension)
 {
     gint64 before_ms = Clock_nowMs();
     suspend(30);
@@ -47,22 +46,22 @@
 }
 END_TEST
 
-START_TEST(test_a_configuration_is_not_fresh_after_a_suspension)
+START_TEST(test_configuration_is_not_fresh_after_a_suspension)
 {
-    for (gsize i = 0; i < G_N_ELEMENTS(spans_s); i++) {
+    for (gsize i = 0; i < G_N_ELEMENTS(suspensions_s); i++) {
         RouteTable_t *routes = RouteTable_create();
         RouteTable_noteCurrent(routes, Clock_nowMs());
         ck_assert(RouteTable_isFresh(routes, 900));
-        suspend(spans_s[i]);
+        suspend(suspensions_s[i]);
         ck_assert(!RouteTable_isFresh(routes, 900));
         ck_assert_int_ge(RouteTable_ageMs(routes, Clock_nowMs()),
-                         spans_s[i] * 1000);
+                         suspensions_s[i] * 1000);
         RouteTable_destroy(routes);
     }
 }
 END_TEST
 
-START_TEST(test_what_a_peer_told_before_ages_meanwhile)
+START_TEST(test_age_from_a_peer_includes_a_suspension)
 {
     gint64 at_ms = PeerAge_atMs(0);
     suspend(5);
@@ -70,7 +69,7 @@
 }
 END_TEST
 
-START_TEST(test_weights_named_before_are_overdue_after_it)
+START_TEST(test_weights_named_before_a_suspension_are_overdue_after_it)
 {
     ModelVersions_t *weights = ModelVersions_create();
     ModelVersions_add(weights, "m", 1, Clock_nowMs() - 100000);
@@ -84,9 +83,8 @@
 }
 END_TEST
 
-/* The other way round: what only holds for a while must not hold for longer.
- */
-START_TEST(test_a_pause_told_before_is_over_after_it)
+/* A state with a time limit must not last longer either. */
+START_TEST(test_pause_ends_during_a_suspension)
 {
     UpstreamSpec_t spec = {.hall = g_string_new("a"),
                            .region = g_string_new("r"),
@@ -105,8 +103,8 @@
 }
 END_TEST
 
-TESTING_MAIN("Suspension", test_the_clock_counts_a_suspension,
-             test_a_configuration_is_not_fresh_after_a_suspension,
-             test_what_a_peer_told_before_ages_meanwhile,
-             test_weights_named_before_are_overdue_after_it,
-             test_a_pause_told_before_is_over_after_it)
+TESTING_MAIN("Suspension", test_clock_includes_a_suspension,
+             test_configuration_is_not_fresh_after_a_suspension,
+             test_age_from_a_peer_includes_a_suspension,
+             test_weights_named_before_a_suspension_are_overdue_after_it,
+             test_pause_ends_during_a_suspension)
--- a/tests/test_UpstreamListing.c
+++ b/tests/test_UpstreamListing.c
@@ -14,7 +14,7 @@
 /* So long that no test sees its end. */
 #define RETURN_MS 600000
 /* More than a message's transit, which adds to its age. */
-#define TOLD_AFTER_US ((PEER_TRANSIT_MS + 10) * CLOCK_US_PER_MS)
+#define TOLD_AFTER_US ((PEER_TRANSIT_MAX_MS + 10) * CLOCK_US_PER_MS)
 
 /* Upstreams of a long list. */
 #define MANY 500
--- a/tests/test_UpstreamProber.c
+++ b/tests/test_UpstreamProber.c
@@ -279,7 +279,8 @@
 find_router(gboolean asks)
 {
     for (guint i = 0; i < MANY; i++) {
-        guint rank = Membership_rank(routers.list[i].membership, "u", NULL);
+        guint rank =
+            Membership_localRank(routers.list[i].membership, "u", NULL);
         if ((rank < 3) == asks) {
             return i;
         }
