--- a/bench/Replay.c
+++ b/bench/Replay.c
@@ -705,7 +705,7 @@
         this->firsts[kind] = g_array_new(FALSE, FALSE, sizeof(gint64));
     }
     Random_seed((guint32)spec->fleet.seed);
-    Clock_hold(BEGIN_US);
+    Clock_freeze(BEGIN_US);
     draw_requests(this);
     add_engines(this);
 }
@@ -769,7 +769,7 @@
     g_ptr_array_unref(this->serving);
     g_hash_table_destroy(this->by_upstream);
     g_hash_table_destroy(this->read);
-    Clock_hold(0);
+    Clock_freeze(0);
 }
 
 void
@@ -786,7 +786,7 @@
             break;
         }
         replay.now_us = event.at_us;
-        Clock_hold(event.at_us);
+        Clock_freeze(event.at_us);
         take(&replay, &event);
     }
     fill_result(&replay);
--- a/src/Attempt.c
+++ b/src/Attempt.c
@@ -250,7 +250,7 @@
         end_refused(this, request);
         return;
     }
-    end_attempt(this, this->complete ? ATTEMPT_WHOLE : ATTEMPT_CUT, NULL);
+    end_attempt(this, this->complete ? ATTEMPT_COMPLETE : ATTEMPT_CUT, NULL);
 }
 
 static struct evhttp_request *
--- a/src/ClaimIndex.c
+++ b/src/ClaimIndex.c
@@ -5,18 +5,18 @@
 typedef struct {
     ClaimId_t key;
     ClaimId_t attempt;
-    gint64 at_ms;
+    gint64 at_ms; /* wall-clock time of the record, as its appender gave it */
     gboolean ran;
 } Claim_t;
 
 typedef struct {
     ClaimId_t attempt;
     gint64 at_ms;
-} Void_t;
+} VoidAttempt_t;
 
 struct ClaimIndex {
     GHashTable *claims; /* key -> Claim_t */
-    GHashTable *voids;  /* attempt -> Void_t */
+    GHashTable *voids;  /* attempt -> VoidAttempt_t */
 };
 
 static guint
@@ -28,7 +28,7 @@
 }
 
 static gboolean
-same_id(gconstpointer a, gconstpointer b)
+equal_ids(gconstpointer a, gconstpointer b)
 {
     return memcmp(a, b, CLAIM_ID_BYTES) == 0;
 }
@@ -37,8 +37,8 @@
 ClaimIndex_create(void)
 {
     ClaimIndex_t *this = g_new0(ClaimIndex_t, 1);
-    this->claims = g_hash_table_new_full(hash_id, same_id, NULL, g_free);
-    this->voids = g_hash_table_new_full(hash_id, same_id, NULL, g_free);
+    this->claims = g_hash_table_new_full(hash_id, equal_ids, NULL, g_free);
+    this->voids = g_hash_table_new_full(hash_id, equal_ids, NULL, g_free);
     return this;
 }
 
@@ -51,9 +51,9 @@
 }
 
 static void
-make_void(ClaimIndex_t *this, const ClaimId_t *attempt, gint64 at_ms)
+void_attempt(ClaimIndex_t *this, const ClaimId_t *attempt, gint64 at_ms)
 {
-    Void_t *entry = g_new0(Void_t, 1);
+    VoidAttempt_t *entry = g_new0(VoidAttempt_t, 1);
     entry->attempt = *attempt;
     entry->at_ms = at_ms;
     g_hash_table_replace(this->voids, &entry->attempt, entry);
@@ -63,13 +63,13 @@
 fold_claim(ClaimIndex_t *this, const ClaimId_t *key, const ClaimId_t *attempt,
            gint64 at_ms)
 {
-    const Claim_t *standing = g_hash_table_lookup(this->claims, key);
+    const Claim_t *active = g_hash_table_lookup(this->claims, key);
     if (g_hash_table_contains(this->voids, attempt)) {
         return;
     }
-    if (standing) {
-        if (!same_id(&standing->attempt, attempt)) {
-            make_void(this, attempt, at_ms);
+    if (active) {
+        if (!equal_ids(&active->attempt, attempt)) {
+            void_attempt(this, attempt, at_ms);
         }
         return;
     }
@@ -84,9 +84,9 @@
 fold_release(ClaimIndex_t *this, const ClaimId_t *key,
              const ClaimId_t *attempt, gint64 at_ms)
 {
-    const Claim_t *standing = g_hash_table_lookup(this->claims, key);
-    make_void(this, attempt, at_ms);
-    if (standing && same_id(&standing->attempt, attempt) && !standing->ran) {
+    const Claim_t *active = g_hash_table_lookup(this->claims, key);
+    void_attempt(this, attempt, at_ms);
+    if (active && equal_ids(&active->attempt, attempt) && !active->ran) {
         g_hash_table_remove(this->claims, key);
     }
 }
@@ -95,9 +95,9 @@
 fold_outcome(ClaimIndex_t *this, const ClaimId_t *key,
              const ClaimId_t *attempt)
 {
-    Claim_t *standing = g_hash_table_lookup(this->claims, key);
-    if (standing && same_id(&standing->attempt, attempt)) {
-        standing->ran = TRUE;
+    Claim_t *active = g_hash_table_lookup(this->claims, key);
+    if (active && equal_ids(&active->attempt, attempt)) {
+        active->ran = TRUE;
     }
 }
 
@@ -137,39 +137,39 @@
 ClaimIndex_verdict(const ClaimIndex_t *this, const ClaimId_t *key,
                    const ClaimId_t *attempt)
 {
-    const Claim_t *standing = g_hash_table_lookup(this->claims, key);
-    if (standing && same_id(&standing->attempt, attempt)) {
+    const Claim_t *active = g_hash_table_lookup(this->claims, key);
+    if (active && equal_ids(&active->attempt, attempt)) {
         return WT__CLAIM_VERDICT__GRANTED;
     }
-    return standing && standing->ran ? WT__CLAIM_VERDICT__ALREADY_RAN
-                                     : WT__CLAIM_VERDICT__IN_DOUBT;
+    return active && active->ran ? WT__CLAIM_VERDICT__ALREADY_RAN
+                                 : WT__CLAIM_VERDICT__IN_DOUBT;
 }
 
 gboolean
-ClaimIndex_stands(const ClaimIndex_t *this, const ClaimId_t *key)
+ClaimIndex_hasClaim(const ClaimIndex_t *this, const ClaimId_t *key)
 {
     return g_hash_table_contains(this->claims, key);
 }
 
 static gboolean
-is_old_claim(gpointer key, gpointer claim, gpointer before)
+is_expired_claim(gpointer key, gpointer claim, gpointer before_ms)
 {
     (void)key;
-    return ((const Claim_t *)claim)->at_ms < *(gint64 *)before;
+    return ((const Claim_t *)claim)->at_ms < *(gint64 *)before_ms;
 }
 
 static gboolean
-is_old_void(gpointer attempt, gpointer entry, gpointer before)
+is_expired_void(gpointer attempt, gpointer entry, gpointer before_ms)
 {
     (void)attempt;
-    return ((const Void_t *)entry)->at_ms < *(gint64 *)before;
+    return ((const VoidAttempt_t *)entry)->at_ms < *(gint64 *)before_ms;
 }
 
 void
 ClaimIndex_expire(ClaimIndex_t *this, gint64 before_ms)
 {
-    g_hash_table_foreach_remove(this->claims, is_old_claim, &before_ms);
-    g_hash_table_foreach_remove(this->voids, is_old_void, &before_ms);
+    g_hash_table_foreach_remove(this->claims, is_expired_claim, &before_ms);
+    g_hash_table_foreach_remove(this->voids, is_expired_void, &before_ms);
 }
 
 guint
--- a/src/ClaimShard.c
+++ b/src/ClaimShard.c
@@ -7,14 +7,17 @@
 #include "Log.h"
 #include "Random.h"
 
+/* Mean delay before a failed read is repeated. */
 #define RETRY_MS 300
+/* Entries of one record. */
 #define BATCH_MAX 256
-/* A stream gets at most one append in so long, so that all of them together
- * stay within the several hundred a second that the log takes. */
+/* Minimum interval between two appends to one stream. All streams together
+ * then stay within the several hundred appends a second that the log accepts.
+ */
 #define APPEND_INTERVAL_MS 50
-/* Entries whose record is not seen for so long are given back undecided. */
+/* Entries whose record is not read within this time end undecided. */
 #define ENTRY_TIMEOUT_MS 2000
-#define SWEEP_MS 10000
+#define EXPIRE_INTERVAL_MS 10000
 
 typedef struct {
     Wt__ClaimKind kind;
@@ -22,8 +25,8 @@
     ClaimId_t attempt;
     ClaimShardDone_t done;
     void *data;
-    gint64 due_ms;
-    guint64 offset; /* of its record, known once it was appended */
+    gint64 deadline_ms;
+    guint64 offset; /* of its record, valid if appended */
     gboolean appended;
 } Entry_t;
 
@@ -34,37 +37,37 @@
     char stream[32];
     ClaimIndex_t *index;
     gint64 poll_ms;
-    gint64 keep_ms;
+    gint64 retain_ms;
     guint64 fold_offset;
     gint64 covered_from_ms; /* 0 for the stream's start */
-    gboolean truncated;     /* the first record to come says from when */
-    guint64 epoch;          /* of the log in which the stream is folded */
+    gboolean truncated;     /* the next record sets covered_from_ms */
+    guint64 epoch;          /* of the log, as folded */
     gboolean epoch_known;
-    gboolean unmarked; /* no record of this epoch was folded */
-    gboolean returned; /* this router saw the log come back older */
+    gboolean unmarked;   /* no record of this epoch was folded */
+    gboolean marker_due; /* append a record to mark the epoch's start */
     gboolean caught_up;
-    gint64 swept_ms;
-    GPtrArray *batch;    /* Entry_t that wait for the next append */
-    GPtrArray *flying;   /* Entry_t of the append under way */
-    GPtrArray *landed;   /* Entry_t that wait for the fold */
-    gint64 appended_ms;  /* when the last append was sent */
-    struct event *pace;  /* of the next append */
-    struct event *retry; /* of a read */
-    struct event *timer; /* of entries */
+    gint64 expired_ms;          /* when old claims were last removed */
+    GPtrArray *queued;          /* Entry_t that wait for the next append */
+    GPtrArray *in_flight;       /* Entry_t of the append under way */
+    GPtrArray *awaiting_fold;   /* Entry_t that were appended */
+    gint64 append_sent_ms;      /* when the last append was sent */
+    struct event *append_timer; /* of the next append */
+    struct event *read_timer;   /* of the repeat of a failed read */
+    struct event *entry_timer;  /* of entries' deadlines */
 };
 
 static void read_next(ClaimShard_t *this);
 static void append_batch(ClaimShard_t *this);
 
 static void
-end_entry(ClaimShard_t *this, Entry_t *entry, Wt__ClaimVerdict verdict)
+complete_entry(ClaimShard_t *this, Entry_t *entry, Wt__ClaimVerdict verdict)
 {
     entry->done(verdict, this->covered_from_ms, entry->data);
     g_free(entry);
 }
 
 static Wt__ClaimVerdict
-verdict_of(const ClaimShard_t *this, const Entry_t *entry)
+entry_verdict(const ClaimShard_t *this, const Entry_t *entry)
 {
     return entry->kind == WT__CLAIM_KIND__CLAIM
                ? ClaimIndex_verdict(this->index, &entry->key, &entry->attempt)
@@ -72,61 +75,63 @@
 }
 
 static void
-end_folded(ClaimShard_t *this)
+complete_folded(ClaimShard_t *this)
 {
     guint i = 0;
-    while (i < this->landed->len) {
-        Entry_t *entry = g_ptr_array_index(this->landed, i);
+    while (i < this->awaiting_fold->len) {
+        Entry_t *entry = g_ptr_array_index(this->awaiting_fold, i);
         if (!entry->appended || entry->offset >= this->fold_offset) {
             i++;
             continue;
         }
-        g_ptr_array_remove_index_fast(this->landed, i);
-        end_entry(this, entry, verdict_of(this, entry));
+        g_ptr_array_remove_index_fast(this->awaiting_fold, i);
+        complete_entry(this, entry, entry_verdict(this, entry));
     }
 }
 
 static void
-end_late(ClaimShard_t *this, GPtrArray *list, gint64 now_ms)
+complete_overdue(ClaimShard_t *this, GPtrArray *list, gint64 now_ms)
 {
     guint i = 0;
     while (i < list->len) {
         Entry_t *entry = g_ptr_array_index(list, i);
-        if (now_ms < entry->due_ms) {
+        if (now_ms < entry->deadline_ms) {
             i++;
             continue;
         }
         g_ptr_array_remove_index_fast(list, i);
-        end_entry(this, entry, WT__CLAIM_VERDICT__UNDECIDED);
+        complete_entry(this, entry, WT__CLAIM_VERDICT__UNDECIDED);
     }
 }
 
 static void
-on_timer(evutil_socket_t fd, short what, void *data)
+on_entry_timer(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
     ClaimShard_t *this = data;
     gint64 now_ms = Clock_nowMs();
-    end_late(this, this->batch, now_ms);
-    end_late(this, this->landed, now_ms);
-    if (this->batch->len + this->landed->len > 0) {
-        Clock_arm(this->timer, ENTRY_TIMEOUT_MS / 8);
+    complete_overdue(this, this->queued, now_ms);
+    complete_overdue(this, this->awaiting_fold, now_ms);
+    if (this->queued->len + this->awaiting_fold->len > 0) {
+        Clock_arm(this->entry_timer, ENTRY_TIMEOUT_MS / 8);
     }
 }
 
-/* Reading: */
+/* Reading */
 
-/* What a log has lost as it came back older was claimed before the first
- * record of its epoch. */
+/* Sets the time since which claims are covered. Claims that the log lost when
+ * it came back older were made before the first record of the new epoch;
+ * claims that it truncated, before the first record that it still has. */
 static void
-note_cover(ClaimShard_t *this, const Wt__ClaimRecord *record)
+update_coverage(ClaimShard_t *this, const Wt__ClaimRecord *record)
 {
-    gboolean marks = this->unmarked && record->epoch == this->epoch;
-    if (marks || (this->truncated && !this->unmarked)) {
+    gboolean is_first_of_epoch =
+        this->unmarked && record->epoch == this->epoch;
+    if (is_first_of_epoch || (this->truncated && !this->unmarked)) {
         this->covered_from_ms = record->appended_ms;
     }
-    if (marks) {
+    if (is_first_of_epoch) {
         this->unmarked = FALSE;
     }
     this->truncated = FALSE;
@@ -142,24 +147,25 @@
     if (!record) {
         return;
     }
-    note_cover(this, record);
+    update_coverage(this, record);
     ClaimIndex_fold(this->index, record);
     wt__claim_record__free_unpacked(record, NULL);
 }
 
 static void
-sweep(ClaimShard_t *this)
+expire_claims(ClaimShard_t *this)
 {
     gint64 now_ms = Clock_nowMs();
-    if (now_ms - this->swept_ms >= SWEEP_MS) {
-        this->swept_ms = now_ms;
-        ClaimIndex_expire(this->index, Clock_wallMs() - this->keep_ms);
+    if (now_ms - this->expired_ms >= EXPIRE_INTERVAL_MS) {
+        this->expired_ms = now_ms;
+        ClaimIndex_expire(this->index, Clock_wallMs() - this->retain_ms);
     }
 }
 
-/* What was known may have missed records that are gone: start anew. */
+/* The log removed records that were not read yet. Starts with an empty index
+ * at the oldest record, as the known claims may be out of date. */
 static void
-begin_anew(ClaimShard_t *this, guint64 start)
+restart_fold(ClaimShard_t *this, guint64 start)
 {
     ClaimIndex_destroy(this->index);
     this->index = ClaimIndex_create();
@@ -169,21 +175,23 @@
 }
 
 static void
-end_undecided(ClaimShard_t *this, GPtrArray *list)
+complete_undecided(ClaimShard_t *this, GPtrArray *list)
 {
     while (list->len > 0) {
         Entry_t *entry = g_ptr_array_remove_index_fast(list, list->len - 1);
-        end_entry(this, entry, WT__CLAIM_VERDICT__UNDECIDED);
+        complete_entry(this, entry, WT__CLAIM_VERDICT__UNDECIDED);
     }
 }
 
-/* Claims that are known still stand: to fold their records again changes
- * nothing. Of those that nobody here knows none is granted, as its key is
- * older than the epoch; what waits for its record is asked again. */
+/* Keeps the known claims: folding their records again changes nothing. Claims
+ * that were lost and are unknown here cannot be granted a second time, as
+ * their keys are older than the epoch and therefore not covered. Entries that
+ * wait for their record end undecided; their requesters submit them again.
+ */
 static void
 begin_epoch(ClaimShard_t *this, guint64 epoch)
 {
-    this->returned = this->epoch_known;
+    this->marker_due = this->epoch_known;
     this->epoch = epoch;
     this->epoch_known = TRUE;
     this->fold_offset = 0;
@@ -191,12 +199,13 @@
     this->truncated = FALSE;
     this->unmarked = epoch > 0;
     this->covered_from_ms = epoch > 0 ? G_MAXINT64 : 0;
-    end_undecided(this, this->landed);
+    complete_undecided(this, this->awaiting_fold);
 }
 
-/* Return: whether an answer is of use that was asked for before */
+/* Returns whether the answer is usable. If the epoch has changed since the
+ * read was sent, its offset is of the earlier epoch. */
 static gboolean
-take_epoch(ClaimShard_t *this, guint64 epoch)
+accept_epoch(ClaimShard_t *this, guint64 epoch)
 {
     gboolean is_first = !this->epoch_known;
     if (is_first || epoch != this->epoch) {
@@ -207,14 +216,14 @@
 }
 
 static void
-take_records(ClaimShard_t *this, const LogRecords_t *records)
+fold_records(ClaimShard_t *this, const LogRecords_t *records)
 {
     for (guint i = 0; i < records->records->len; i++) {
         fold_record(this, g_ptr_array_index(records->records, i));
     }
     this->caught_up = this->fold_offset >= records->head;
-    sweep(this);
-    end_folded(this);
+    expire_claims(this);
+    complete_folded(this);
     append_batch(this);
     read_next(this);
 }
@@ -223,21 +232,21 @@
 on_read(const LogRecords_t *records, const GError *error, void *data)
 {
     ClaimShard_t *this = data;
-    if (records && !take_epoch(this, records->epoch)) {
+    if (records && !accept_epoch(this, records->epoch)) {
         read_next(this);
         return;
     }
     if (records && error) {
-        begin_anew(this, records->start);
+        restart_fold(this, records->start);
         read_next(this);
         return;
     }
     if (!records) {
         this->caught_up = FALSE;
-        Clock_arm(this->retry, RETRY_MS / 2 + Random_below(RETRY_MS));
+        Clock_arm(this->read_timer, RETRY_MS / 2 + Random_below(RETRY_MS));
         return;
     }
-    take_records(this, records);
+    fold_records(this, records);
 }
 
 static void
@@ -248,24 +257,24 @@
 }
 
 static void
-on_retry(evutil_socket_t fd, short what, void *data)
+on_read_timer(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
     read_next(data);
 }
 
-/* Appending: */
+/* Appending */
 
 static GBytes *
 pack_batch(const ClaimShard_t *this)
 {
-    guint count = this->flying->len;
+    guint count = this->in_flight->len;
     g_autofree Wt__ClaimEntry *messages = g_new0(Wt__ClaimEntry, count);
     g_autofree Wt__ClaimEntry **list = g_new0(Wt__ClaimEntry *, count);
     Wt__ClaimRecord record = WT__CLAIM_RECORD__INIT;
     for (guint i = 0; i < count; i++) {
-        Entry_t *entry = g_ptr_array_index(this->flying, i);
+        Entry_t *entry = g_ptr_array_index(this->in_flight, i);
         wt__claim_entry__init(&messages[i]);
         messages[i].kind = entry->kind;
         messages[i].key.data = entry->key.bytes;
@@ -284,73 +293,75 @@
     return g_bytes_new_take(bytes, size);
 }
 
-/* Whether an offset that was answered just now can be compared with the
- * fold's. */
+/* Returns whether the offset of an append that was answered just now belongs
+ * to the epoch that is folded. Offsets of two epochs cannot be compared. */
 static gboolean
-is_of_epoch(const ClaimShard_t *this)
+is_epoch_current(const ClaimShard_t *this)
 {
     return StoreEpoch_newest(this->store_epoch) == this->epoch;
 }
 
-/* One whose answer was lost is left to its asker, who asks again with the
- * same attempt: a claim that was appended twice is one claim. */
+/* If the append failed, its entries end undecided. Their requesters submit
+ * them again with the same attempt: a claim that was appended twice counts
+ * once. */
 static void
 on_appended(guint64 offset, const GError *error, void *data)
 {
     ClaimShard_t *this = data;
-    gboolean is_known = !error && is_of_epoch(this);
-    this->returned = !is_known && this->unmarked;
-    for (guint i = 0; i < this->flying->len; i++) {
-        Entry_t *entry = g_ptr_array_index(this->flying, i);
+    gboolean is_known = !error && is_epoch_current(this);
+    this->marker_due = !is_known && this->unmarked;
+    for (guint i = 0; i < this->in_flight->len; i++) {
+        Entry_t *entry = g_ptr_array_index(this->in_flight, i);
         if (!is_known) {
-            end_entry(this, entry, WT__CLAIM_VERDICT__UNDECIDED);
+            complete_entry(this, entry, WT__CLAIM_VERDICT__UNDECIDED);
             continue;
         }
         entry->appended = TRUE;
         entry->offset = offset;
-        g_ptr_array_add(this->landed, entry);
+        g_ptr_array_add(this->awaiting_fold, entry);
     }
-    g_ptr_array_set_size(this->flying, 0);
-    end_folded(this);
+    g_ptr_array_set_size(this->in_flight, 0);
+    complete_folded(this);
     append_batch(this);
 }
 
-/* A router that saw the return says when it was, so that keys are refused for
- * it only as long as they must be. */
+/* A router that saw the log come back older appends a record, which may have
+ * no entries. Its time tells all routers since when claims are covered, so
+ * that keys are not refused for longer than necessary. */
 static gboolean
-is_to_mark(const ClaimShard_t *this)
+must_mark_epoch(const ClaimShard_t *this)
 {
-    return this->unmarked && this->returned;
+    return this->unmarked && this->marker_due;
 }
 
-/* Nothing is appended before all that was there has been read, so that what
- * is known to be denied costs no append. */
+/* Waits until the stream has been read to its end, so that claims which are
+ * known to be denied cost no append. */
 static void
 append_batch(ClaimShard_t *this)
 {
-    if (this->flying->len > 0 || !this->caught_up ||
-        (this->batch->len == 0 && !is_to_mark(this))) {
+    if (this->in_flight->len > 0 || !this->caught_up ||
+        (this->queued->len == 0 && !must_mark_epoch(this))) {
         return;
     }
-    gint64 wait = this->appended_ms + APPEND_INTERVAL_MS - Clock_nowMs();
-    if (wait > 0) {
-        Clock_arm(this->pace, wait);
+    gint64 wait_ms = this->append_sent_ms + APPEND_INTERVAL_MS - Clock_nowMs();
+    if (wait_ms > 0) {
+        Clock_arm(this->append_timer, wait_ms);
         return;
     }
-    this->appended_ms = Clock_nowMs();
-    guint count = MIN(this->batch->len, BATCH_MAX);
+    this->append_sent_ms = Clock_nowMs();
+    guint count = MIN(this->queued->len, BATCH_MAX);
     for (guint i = 0; i < count; i++) {
-        g_ptr_array_add(this->flying, g_ptr_array_index(this->batch, i));
+        g_ptr_array_add(this->in_flight, g_ptr_array_index(this->queued, i));
     }
-    g_ptr_array_remove_range(this->batch, 0, count);
-    this->returned = FALSE;
+    g_ptr_array_remove_range(this->queued, 0, count);
+    this->marker_due = FALSE;
     GBytes *record = pack_batch(this);
     LogClient_append(this->log, this->stream, record, on_appended, this);
     g_bytes_unref(record);
 }
 
 static void
-on_pace(evutil_socket_t fd, short what, void *data)
+on_append_timer(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
@@ -358,7 +369,7 @@
 }
 
 static gboolean
-read_id(const ProtobufCBinaryData *data, ClaimId_t *id)
+copy_id(const ProtobufCBinaryData *data, ClaimId_t *id)
 {
     if (data->len != CLAIM_ID_BYTES) {
         return FALSE;
@@ -367,13 +378,14 @@
     return TRUE;
 }
 
-/* What another claim bars already needs no record of its own. */
+/* Returns whether another claim of the key denies this one already. Such a
+ * claim is not appended. */
 static gboolean
 is_denied(const ClaimShard_t *this, const Entry_t *entry)
 {
     return entry->kind == WT__CLAIM_KIND__CLAIM && this->caught_up &&
-           ClaimIndex_stands(this->index, &entry->key) &&
-           verdict_of(this, entry) != WT__CLAIM_VERDICT__GRANTED;
+           ClaimIndex_hasClaim(this->index, &entry->key) &&
+           entry_verdict(this, entry) != WT__CLAIM_VERDICT__GRANTED;
 }
 
 void
@@ -384,19 +396,19 @@
     entry->kind = message->kind;
     entry->done = done;
     entry->data = data;
-    entry->due_ms = Clock_nowMs() + ENTRY_TIMEOUT_MS;
-    if (!read_id(&message->key, &entry->key) ||
-        !read_id(&message->attempt, &entry->attempt)) {
-        end_entry(this, entry, WT__CLAIM_VERDICT__UNDECIDED);
+    entry->deadline_ms = Clock_nowMs() + ENTRY_TIMEOUT_MS;
+    if (!copy_id(&message->key, &entry->key) ||
+        !copy_id(&message->attempt, &entry->attempt)) {
+        complete_entry(this, entry, WT__CLAIM_VERDICT__UNDECIDED);
         return;
     }
     if (is_denied(this, entry)) {
-        end_entry(this, entry, verdict_of(this, entry));
+        complete_entry(this, entry, entry_verdict(this, entry));
         return;
     }
-    g_ptr_array_add(this->batch, entry);
-    if (!evtimer_pending(this->timer, NULL)) {
-        Clock_arm(this->timer, ENTRY_TIMEOUT_MS / 8);
+    g_ptr_array_add(this->queued, entry);
+    if (!evtimer_pending(this->entry_timer, NULL)) {
+        Clock_arm(this->entry_timer, ENTRY_TIMEOUT_MS / 8);
     }
     append_batch(this);
 }
@@ -404,7 +416,7 @@
 ClaimShard_t *
 ClaimShard_create(struct event_base *base, LogClient_t *log,
                   const StoreEpoch_t *epoch, guint number, gint64 poll_ms,
-                  gint64 keep_ms)
+                  gint64 retain_ms)
 {
     ClaimShard_t *this = g_new0(ClaimShard_t, 1);
     this->base = base;
@@ -413,13 +425,13 @@
     g_snprintf(this->stream, sizeof(this->stream), "claims-%u", number);
     this->index = ClaimIndex_create();
     this->poll_ms = poll_ms;
-    this->keep_ms = keep_ms;
-    this->batch = g_ptr_array_new();
-    this->flying = g_ptr_array_new();
-    this->landed = g_ptr_array_new();
-    this->pace = Clock_timer(base, on_pace, this);
-    this->retry = Clock_timer(base, on_retry, this);
-    this->timer = Clock_timer(base, on_timer, this);
+    this->retain_ms = retain_ms;
+    this->queued = g_ptr_array_new();
+    this->in_flight = g_ptr_array_new();
+    this->awaiting_fold = g_ptr_array_new();
+    this->append_timer = Clock_timer(base, on_append_timer, this);
+    this->read_timer = Clock_timer(base, on_read_timer, this);
+    this->entry_timer = Clock_timer(base, on_entry_timer, this);
     read_next(this);
     return this;
 }
@@ -434,12 +446,12 @@
 void
 ClaimShard_destroy(ClaimShard_t *this)
 {
-    event_free(this->pace);
-    event_free(this->retry);
-    event_free(this->timer);
-    free_entries(this->batch);
-    free_entries(this->flying);
-    free_entries(this->landed);
+    event_free(this->append_timer);
+    event_free(this->read_timer);
+    event_free(this->entry_timer);
+    free_entries(this->queued);
+    free_entries(this->in_flight);
+    free_entries(this->awaiting_fold);
     ClaimIndex_destroy(this->index);
     g_free(this);
 }
--- a/src/Claims.c
+++ b/src/Claims.c
@@ -10,42 +10,42 @@
 
 #define CALL_TIMEOUT_MS 2500
 #define RETRY_MS 100
-/* How long a release or an outcome is tried. */
-#define RECORD_LIMIT_MS 600000
-/* How far the clocks of callers and routers may be apart. */
+/* How long a release or an outcome is retried. */
+#define RECORD_TIMEOUT_MS 600000
+/* Largest difference between the clocks of callers and routers. */
 #define CLOCK_MARGIN_MS 30000
 
-/* One entry on its way into a shard, until it is settled. */
+/* An entry of this router, until its result is known. */
 typedef struct {
     Claims_t *owner;
     Wt__ClaimKind kind;
     ClaimId_t key;
     ClaimId_t attempt;
     guint shard;
-    guint64 call; /* number of the call under way to a peer, 0 for none */
+    guint64 call; /* number of the open call to the owner, 0 for none */
     gint64 key_time_ms;
     gint64 deadline_ms;
-    ClaimsDone_t done; /* NULL for records, and after the deadline */
+    ClaimsDone_t done; /* NULL for releases, outcomes, and once called */
     void *data;
     struct event *timer;
-    gboolean peer_failed; /* go to the shard itself next time */
-    gboolean local;       /* a local submission is under way */
+    gboolean peer_failed;       /* submit locally next time */
+    gboolean submitted_locally; /* the local shard has not answered yet */
 } Pending_t;
 
-/* A peer's entry, answered when the shard has settled it. */
+/* A peer's call, answered when the shard has completed its entry. */
 typedef struct {
     Claims_t *owner;
     char *peer;
     guint64 call;
-} Served_t;
+} ServedCall_t;
 
 struct Claims {
     struct event_base *base;
     ClaimsSpec_t spec;
-    ClaimShard_t *shards[CLAIM_SHARDS]; /* NULL until this router needs it */
+    ClaimShard_t *shards[CLAIM_SHARDS]; /* NULL until first used */
     GHashTable *calls;                  /* &call -> Pending_t */
     GHashTable *pending;                /* set of Pending_t */
-    GHashTable *served;                 /* set of Served_t */
+    GHashTable *served;                 /* set of ServedCall_t */
     guint64 next_call;
     gboolean closing;
 };
@@ -59,7 +59,7 @@
 }
 
 static ClaimShard_t *
-shard_of(Claims_t *this, guint shard)
+get_shard(Claims_t *this, guint shard)
 {
     const PlatformSection_t *platform = &this->spec.settings->platform;
     if (!this->shards[shard]) {
@@ -79,7 +79,7 @@
 }
 
 static void
-stop_call(Pending_t *pending)
+end_call(Pending_t *pending)
 {
     if (pending->call != 0) {
         g_hash_table_remove(pending->owner->calls, &pending->call);
@@ -106,64 +106,65 @@
             pending->key_time_ms >= covered_from_ms + CLOCK_MARGIN_MS);
 }
 
-/* A claim that was given up may stand or may yet land. */
+/* An abandoned claim may have been appended or may be appended later. */
 static void
-release_given_up(Pending_t *pending)
+release_abandoned(Pending_t *pending)
 {
     Claims_record(pending->owner, WT__CLAIM_KIND__RELEASE, &pending->key,
                   &pending->attempt);
 }
 
 static void
-settle(Pending_t *pending, Wt__ClaimVerdict verdict)
+complete_pending(Pending_t *pending, Wt__ClaimVerdict verdict)
 {
     ClaimsDone_t done = pending->done;
     pending->done = NULL;
-    stop_call(pending);
+    end_call(pending);
     evtimer_del(pending->timer);
     if (pending->kind == WT__CLAIM_KIND__CLAIM && !pending->owner->closing &&
         (verdict == WT__CLAIM_VERDICT__UNDECIDED ||
          verdict == WT__CLAIM_VERDICT__NOT_COVERED)) {
-        release_given_up(pending);
+        release_abandoned(pending);
     }
     if (done) {
         done(verdict, pending->data);
     }
-    if (!pending->local) {
+    if (!pending->submitted_locally) {
         Pending_destroy(pending);
     }
 }
 
 static gboolean
-is_over(const Pending_t *pending)
+is_past_deadline(const Pending_t *pending)
 {
     return Clock_nowMs() >= pending->deadline_ms;
 }
 
 static void
-try_later(Pending_t *pending)
+schedule_retry(Pending_t *pending)
 {
-    if (is_over(pending)) {
-        settle(pending, WT__CLAIM_VERDICT__UNDECIDED);
+    if (is_past_deadline(pending)) {
+        complete_pending(pending, WT__CLAIM_VERDICT__UNDECIDED);
         return;
     }
-    gint64 wait = RETRY_MS / 2 + Random_below(RETRY_MS);
-    Clock_arm(pending->timer, MIN(wait, pending->deadline_ms - Clock_nowMs()));
+    gint64 wait_ms = RETRY_MS / 2 + Random_below(RETRY_MS);
+    Clock_arm(pending->timer,
+              MIN(wait_ms, pending->deadline_ms - Clock_nowMs()));
 }
 
 static void
-take_verdict(Pending_t *pending, Wt__ClaimVerdict verdict,
-             gint64 covered_from_ms)
+apply_verdict(Pending_t *pending, Wt__ClaimVerdict verdict,
+              gint64 covered_from_ms)
 {
     if (verdict == WT__CLAIM_VERDICT__UNDECIDED) {
-        try_later(pending);
+        schedule_retry(pending);
     }
     else if (verdict == WT__CLAIM_VERDICT__GRANTED &&
              !is_covered(pending, covered_from_ms)) {
-        settle(pending, WT__CLAIM_VERDICT__NOT_COVERED);
+        complete_pending(pending, WT__CLAIM_VERDICT__NOT_COVERED);
     }
     else {
-        settle(pending, verdict);
+        complete_pending(pending, verdict);
     }
 }
 
@@ -171,28 +172,29 @@
 on_local_verdict(Wt__ClaimVerdict verdict, gint64 covered_from_ms, void *data)
 {
     Pending_t *pending = data;
-    gboolean waits = pending->done || pending->kind != WT__CLAIM_KIND__CLAIM;
-    pending->local = FALSE;
-    if (!waits) {
+    gboolean is_awaited =
+        pending->done || pending->kind != WT__CLAIM_KIND__CLAIM;
+    pending->submitted_locally = FALSE;
+    if (!is_awaited) {
         Pending_destroy(pending);
         return;
     }
-    take_verdict(pending, verdict, covered_from_ms);
+    apply_verdict(pending, verdict, covered_from_ms);
 }
 
 static void
-submit_here(Pending_t *pending)
+submit_locally(Pending_t *pending)
 {
     Wt__ClaimEntry entry;
     fill_entry(pending, &entry);
-    pending->local = TRUE;
+    pending->submitted_locally = TRUE;
     Clock_arm(pending->timer, pending->deadline_ms - Clock_nowMs());
-    ClaimShard_submit(shard_of(pending->owner, pending->shard), &entry,
+    ClaimShard_submit(get_shard(pending->owner, pending->shard), &entry,
                       on_local_verdict, pending);
 }
 
 static gboolean
-submit_to(Pending_t *pending, Member_t *member)
+submit_to_owner(Pending_t *pending, Member_t *member)
 {
     Claims_t *this = pending->owner;
     Wt__ClaimEntry entry;
@@ -214,7 +216,9 @@
     return TRUE;
 }
 
-/* The owner first; this router itself when the owner is silent. */
+/* Sends the entry to the shard's owner. Submits it locally if this router is
+ * the owner, or if the owner cannot be reached or did not answer the last
+ * call. */
 static void
 send_entry(Pending_t *pending)
 {
@@ -222,10 +226,10 @@
     shard_name(pending->shard, name);
     Member_t *owner =
         Membership_findOwner(pending->owner->spec.membership, name);
-    if (owner && !pending->peer_failed && submit_to(pending, owner)) {
+    if (owner && !pending->peer_failed && submit_to_owner(pending, owner)) {
         return;
     }
-    submit_here(pending);
+    submit_locally(pending);
 }
 
 static void
@@ -234,18 +238,19 @@
     (void)fd;
     (void)what;
     Pending_t *pending = data;
-    if (is_over(pending)) {
-        settle(pending, WT__CLAIM_VERDICT__UNDECIDED);
+    if (is_past_deadline(pending)) {
+        complete_pending(pending, WT__CLAIM_VERDICT__UNDECIDED);
         return;
     }
-    if (pending->local) {
-        /* The loop's clock is a little behind ours. */
+    if (pending->submitted_locally) {
+        /* The event loop's clock lags a little behind Clock_nowMs(), so the
+         * timer may fire shortly before the deadline. */
         Clock_arm(pending->timer,
                   MAX(pending->deadline_ms - Clock_nowMs(), 1));
         return;
     }
     if (pending->call != 0) {
-        stop_call(pending);
+        end_call(pending);
         pending->peer_failed = TRUE;
         Counters_add(pending->owner->spec.counters, "claim_owner_silent_total",
                      NULL, 1);
@@ -288,11 +293,11 @@
               const ClaimId_t *attempt)
 {
     Pending_t *pending = create_pending(this, kind, key, attempt);
-    pending->deadline_ms = Clock_nowMs() + RECORD_LIMIT_MS;
+    pending->deadline_ms = Clock_nowMs() + RECORD_TIMEOUT_MS;
     send_entry(pending);
 }
 
-/* As a shard's owner: */
+/* Calls of peers to this router as a shard's owner */
 
 static Member_t *
 find_member(const Claims_t *this, const char *name)
@@ -310,7 +315,7 @@
 static void
 on_served(Wt__ClaimVerdict verdict, gint64 covered_from_ms, void *data)
 {
-    Served_t *served = data;
+    ServedCall_t *served = data;
     Claims_t *this = served->owner;
     Member_t *member = find_member(this, served->peer);
     Wt__ClaimReply reply = WT__CLAIM_REPLY__INIT;
@@ -329,45 +334,45 @@
 static void
 free_served(gpointer data)
 {
-    Served_t *served = data;
+    ServedCall_t *served = data;
     g_free(served->peer);
     g_free(served);
 }
 
 static void
-serve(Claims_t *this, const Member_t *from, const Wt__ClaimCall *call)
+serve_call(Claims_t *this, const Member_t *from, const Wt__ClaimCall *call)
 {
     if (call->shard >= CLAIM_SHARDS || !call->entry) {
         return;
     }
-    Served_t *served = g_new0(Served_t, 1);
+    ServedCall_t *served = g_new0(ServedCall_t, 1);
     served->owner = this;
     served->peer = g_strdup(from->name->str);
     served->call = call->call;
     g_hash_table_add(this->served, served);
-    ClaimShard_submit(shard_of(this, call->shard), call->entry, on_served,
+    ClaimShard_submit(get_shard(this, call->shard), call->entry, on_served,
                       served);
 }
 
 static void
-take_reply(Claims_t *this, const Wt__ClaimReply *reply)
+receive_reply(Claims_t *this, const Wt__ClaimReply *reply)
 {
     Pending_t *pending = g_hash_table_lookup(this->calls, &reply->call);
     if (pending) {
-        stop_call(pending);
+        end_call(pending);
         pending->peer_failed = reply->verdict == WT__CLAIM_VERDICT__UNDECIDED;
-        take_verdict(pending, reply->verdict, reply->covered_from_ms);
+        apply_verdict(pending, reply->verdict, reply->covered_from_ms);
     }
 }
 
 void
-Claims_take(Claims_t *this, Member_t *from, const Wt__PeerMessage *message)
+Claims_receive(Claims_t *this, Member_t *from, const Wt__PeerMessage *message)
 {
     if (message->body_case == WT__PEER_MESSAGE__BODY_CLAIM_CALL) {
-        serve(this, from, message->claim_call);
+        serve_call(this, from, message->claim_call);
     }
     else {
-        take_reply(this, message->claim_reply);
+        receive_reply(this, message->claim_reply);
     }
 }
 
@@ -384,16 +389,16 @@
     return this;
 }
 
-/* Askers that still wait are told that nothing was decided. */
+/* Ends all pending entries as undecided. */
 static void
-settle_all(Claims_t *this)
+abort_all(Claims_t *this)
 {
     this->closing = TRUE;
     GList *all = g_hash_table_get_keys(this->pending);
     for (GList *at = all; at; at = at->next) {
         Pending_t *pending = at->data;
-        pending->local = FALSE;
-        settle(pending, WT__CLAIM_VERDICT__UNDECIDED);
+        pending->submitted_locally = FALSE;
+        complete_pending(pending, WT__CLAIM_VERDICT__UNDECIDED);
     }
     g_list_free(all);
 }
@@ -406,7 +411,7 @@
             ClaimShard_destroy(this->shards[i]);
         }
     }
-    settle_all(this);
+    abort_all(this);
     g_hash_table_destroy(this->calls);
     g_hash_table_destroy(this->pending);
     g_hash_table_destroy(this->served);
@@ -414,7 +419,7 @@
 }
 
 guint
-Claims_open(const Claims_t *this)
+Claims_countPending(const Claims_t *this)
 {
     return g_hash_table_size(this->pending);
 }
--- a/src/Clock.c
+++ b/src/Clock.c
@@ -5,17 +5,17 @@
 #define US_PER_S 1000000
 #define NS_PER_US 1000
 
-static gint64 held_us; /* 0 where time goes on by itself */
+static gint64 frozen_us; /* 0 if the time is not frozen */
 
 void
-Clock_hold(gint64 us)
+Clock_freeze(gint64 us)
 {
-    held_us = us;
+    frozen_us = us;
 }
 
-/* CLOCK_MONOTONIC stands still while a machine is suspended: what was known
+/* CLOCK_MONOTONIC does not advance while the machine is suspended. Data from
  * before a suspension of 30 s would count as fresh after it, and a key that
- * was revoked meanwhile would be let in. */
+ * was revoked in the meantime would be accepted. */
 static gint64
 boot_us(void)
 {
@@ -27,7 +27,7 @@
 gint64
 Clock_nowUs(void)
 {
-    return held_us > 0 ? held_us : boot_us();
+    return frozen_us > 0 ? frozen_us : boot_us();
 }
 
 gint64
@@ -51,7 +51,7 @@
 void
 Clock_arm(struct event *timer, gint64 ms)
 {
-    gint64 wait = MAX(ms, 0);
-    struct timeval time = {wait / 1000, (wait % 1000) * 1000};
+    gint64 wait_ms = MAX(ms, 0);
+    struct timeval time = {wait_ms / 1000, (wait_ms % 1000) * 1000};
     evtimer_add(timer, &time);
 }
--- a/src/Clock.h
+++ b/src/Clock.h
@@ -3,17 +3,18 @@
 /**
  * DOC: Clock
  *
- * Monotonic time and one-shot timers on the event loop. The time goes on while
- * the machine is suspended, and all ages are reckoned by it; timers do not, so
- * that one that is due meanwhile fires as much later. Where that matters, what
- * a timer stands for is looked at by the time in steps.
+ * Monotonic time and one-shot timers on the event loop. The time includes
+ * suspensions of the machine, and all ages are measured by it. Timers do not
+ * run during a suspension, which delays them by its length. Code for which
+ * that matters uses a short timer repeatedly and compares the time with its
+ * deadline.
  */
 #include <event2/event.h>
 #include <glib.h>
 
-/** Microseconds of a millisecond */
+/** Microseconds per millisecond */
 #define CLOCK_US_PER_MS 1000
-/** Milliseconds of a second */
+/** Milliseconds per second */
 #define CLOCK_MS_PER_S 1000
 
 /** Clock_nowUs() - monotonic microseconds */
@@ -26,21 +27,22 @@
 gint64 Clock_wallMs(void);
 
 /**
- * Clock_hold() - let the monotonic time stand at @us until it is moved again
+ * Clock_freeze() - stop the monotonic time at @us until the next call
+ * @us: 0 to return to the system's clock
  *
- * For replays of a load in a time of their own; nothing of the router calls
- * it. Timers go by the loop's time all the same.
+ * For tests and replays of a load in simulated time; the router does not call
+ * it. Timers still use the event loop's time.
  */
-void Clock_hold(gint64 us);
+void Clock_freeze(gint64 us);
 
 /**
- * Clock_timer() - a timer that is not yet running
+ * Clock_timer() - create a timer that does not run yet
  * @callback: called once for each Clock_arm()
  */
 struct event *Clock_timer(struct event_base *base, event_callback_fn callback,
                           void *data);
 
-/** Clock_arm() - let a timer fire after @ms, in place of any earlier time */
+/** Clock_arm() - let a timer fire after @ms; replaces the time set before */
 void Clock_arm(struct event *timer, gint64 ms);
 
 #endif
--- a/src/ConnectTest.c
+++ b/src/ConnectTest.c
@@ -7,7 +7,7 @@
 #include "Clock.h"
 
 struct ConnectTest {
-    struct bufferevent *stream;
+    struct bufferevent *bev;
     ConnectTestDone_t done;
     void *data;
 };
@@ -15,14 +15,14 @@
 void
 ConnectTest_cancel(ConnectTest_t *this)
 {
-    bufferevent_free(this->stream);
+    bufferevent_free(this->bev);
     g_free(this);
 }
 
 static void
-on_event(struct bufferevent *stream, short what, void *data)
+on_event(struct bufferevent *bev, short what, void *data)
 {
-    (void)stream;
+    (void)bev;
     ConnectTest_t *this = data;
     gboolean connected = (what & BEV_EVENT_CONNECTED) != 0;
     this->done(connected, this->data);
@@ -34,19 +34,19 @@
                   gint64 timeout_ms, ConnectTestDone_t done, void *data)
 {
     ConnectTest_t *this = g_new0(ConnectTest_t, 1);
-    struct sockaddr_in place = {.sin_family = AF_INET,
-                                .sin_port = htons(address->port)};
+    struct sockaddr_in addr = {.sin_family = AF_INET,
+                               .sin_port = htons(address->port)};
     struct timeval timeout = {timeout_ms / CLOCK_MS_PER_S,
                               (timeout_ms % CLOCK_MS_PER_S) * CLOCK_US_PER_MS};
-    inet_pton(AF_INET, address->host, &place.sin_addr);
+    inet_pton(AF_INET, address->host, &addr.sin_addr);
     this->done = done;
     this->data = data;
-    this->stream = bufferevent_socket_new(
+    this->bev = bufferevent_socket_new(
         base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
-    bufferevent_setcb(this->stream, NULL, NULL, on_event, this);
-    bufferevent_set_timeouts(this->stream, NULL, &timeout);
-    bufferevent_enable(this->stream, EV_WRITE);
-    bufferevent_socket_connect(this->stream, (struct sockaddr *)&place,
-                               sizeof(place));
+    bufferevent_setcb(this->bev, NULL, NULL, on_event, this);
+    bufferevent_set_timeouts(this->bev, NULL, &timeout);
+    bufferevent_enable(this->bev, EV_WRITE);
+    bufferevent_socket_connect(this->bev, (struct sockaddr *)&addr,
+                               sizeof(addr));
     return this;
 }
--- a/src/Context.c
+++ b/src/Context.c
@@ -3,7 +3,8 @@
 #include "Log.h"
 
 RateRequest_t
-Caller_rate(const Caller_t *caller, const char *customer, double tokens)
+Caller_makeRateRequest(const Caller_t *caller, const char *customer,
+                       double tokens)
 {
     const Customer_t *spec = caller->customer->spec;
     RateRequest_t rate = {
--- a/src/Context.h
+++ b/src/Context.h
@@ -3,8 +3,8 @@
 /**
  * DOC: Context
  *
- * The parts of one router process that the handling of requests needs. It
- * owns none of them; Router.h does.
+ * References to the parts of one router process that handle requests. Router.h
+ * owns the parts.
  */
 #include <event2/event.h>
 #include <glib.h>
@@ -40,43 +40,49 @@
 struct PlatformForm;
 
 /**
- * struct Context_t - the parts
+ * struct Context_t - the parts of a router process
  * @base: the event loop
- * @settings: of this router
- * @form: of the platform; NULL where it is the native one
- * @routes: where the platform's form has routes, else NULL
- * @weights: versions that operators have named; NULL where they declare them
- * @listing: where the platform's form has one, else NULL
- * @cache_store: where the platform's form has one, else NULL
- * @speeds: EngineSpeed_t * by the name of the service, where engines don't
- *     report theirs; else NULL
- * @pauses: whether streams are held up; NULL on the native platform
- * @run_times: of streams by their routes; NULL on the native platform
- * @forecast: how far estimates are off; NULL on the native platform
- * @load_share: tells the other routers of loads, or NULL
- * @mover: of streams whose engines pause; NULL on the native platform
+ * @settings: settings of this router
+ * @form: form of the platform; NULL for the native platform
+ * @routes: routes, if the platform's form has them, else NULL
+ * @weights: versions of weights that operators have named; NULL if operators
+ *     declare them
+ * @listing: list of upstreams, if the platform's form has one, else NULL
+ * @cache_store: store of cached prefixes, if the platform's form has one, else
+ *     NULL
+ * @speeds: EngineSpeed_t * by the name of the service, if engines don't report
+ *     their speeds; else NULL
+ * @pauses: detects long prompts that delay streams; NULL on the native
+ * platform
+ * @run_times: run times of streams by route; NULL on the native platform
+ * @estimate_error: errors of the estimates; NULL on the native platform
+ * @load_share: sends upstreams' loads to the other routers, or NULL
+ * @mover: moves streams away from engines that pause; NULL on the native
+ *     platform
  * @dispatch: places requests together with the other routers, or NULL
- * @counters: of this router
+ * @counters: metrics of this router
  * @config: the declarations in force
- * @config_log: where they are kept; NULL where the platform's form has routes
+ * @config_log: log of the declarations; NULL if the platform's form has routes
  * @membership: the other routers
- * @datagrams: to the other routers; NULL where the port can't be had
- * @claims: of keys; NULL where the platform's form has routes
- * @upstreams: declared or listed
- * @policy: by which engines are chosen
- * @service_policy: by which plain services' instances are chosen
- * @limits: of customers' open requests
- * @rates: of customers' limits
- * @upstream_limits: learns those of upstreams
- * @notices: takes in what upstreams say of themselves
- * @budget: of retries
- * @crashes: which requests must not be sent
- * @traces: of recent requests
- * @deferred_calls: what is done at the end of a turn of the loop
- * @stopping: SIGTERM came; new requests are refused after the grace
- * @refusing: the grace is over
- * @open_requests: callers' requests under way
- * @incarnation: of this process, grows with each start
+ * @datagrams: datagrams to the other routers; NULL if the port is not
+ *     available
+ * @claims: claims of keys; NULL if the platform's form has routes
+ * @upstreams: declared or listed upstreams
+ * @policy: policy by which engines are chosen
+ * @service_policy: policy by which instances of plain services are chosen
+ * @limits: limits of customers' open requests
+ * @rates: rate limits of customers
+ * @upstream_limits: learns the limits of upstreams
+ * @notices: receives upstreams' notices about themselves
+ * @budget: retry budget
+ * @crashes: quarantines requests that must not be sent
+ * @traces: traces of recent requests
+ * @deferred_calls: work that is done at the end of a loop iteration
+ * @stopping: SIGTERM was received; new requests are refused after the grace
+ *     period
+ * @refusing: the grace period is over
+ * @open_requests: number of callers' open requests
+ * @incarnation: incarnation of this process, which grows with each start
  */
 typedef struct {
     struct event_base *base;
@@ -117,12 +123,13 @@
 } Context_t;
 
 /**
- * struct Caller_t - who asks, known after authentication
- * @customer: the declaration, only valid until the loop runs on
- * @priority: level that the request has
- * @deadline_ms: monotonic time by which the answer must be whole
- * @repeatable: running the request again does no harm
- * @key: its Idempotency-Key, or empty
+ * struct Caller_t - caller of a request, known after authentication
+ * @customer: the customer's declaration, valid only until control returns to
+ *     the event loop
+ * @priority: priority level of the request
+ * @deadline_ms: monotonic time by which the answer must be complete
+ * @repeatable: it does no harm to run the request again
+ * @key: Idempotency-Key of the request, or empty
  */
 typedef struct {
     const Object_t *customer;
@@ -133,27 +140,29 @@
 } Caller_t;
 
 /**
- * Caller_rate() - what a request takes of its customer's limit
- * @customer: name of the customer; must live as long as what is returned
- * @tokens: of its prompt and the most of its answer; 0 for a plain service
+ * Caller_makeRateRequest() - describe what a request charges to its customer's
+ * rate limit
+ * @customer: name of the customer; must outlive the result
+ * @tokens: tokens of the prompt and maximum tokens of the answer; 0 for a
+ *     plain service
  */
-RateRequest_t Caller_rate(const Caller_t *caller, const char *customer,
-                          double tokens);
+RateRequest_t Caller_makeRateRequest(const Caller_t *caller,
+                                     const char *customer, double tokens);
 
 /**
  * Context_countRefusal() - count and log a refusal
- * @detail: more about this case, or NULL
+ * @detail: details for the log, or NULL
  */
 void Context_countRefusal(Context_t *this, Refusal_t refusal, RunState_t run,
                           const char *request, const char *target,
                           const char *customer_class, const char *detail);
 
-/** Context_countOversized() - count and log an event, or an answer that is no
- * stream, that is too large */
+/** Context_countOversized() - count and log an event of a stream, or an answer
+ * that is no stream, that is too large */
 void Context_countOversized(Context_t *this, const char *request,
                             const char *upstream);
 
-/** Context_countRetry() - count a retry by the reason for it */
+/** Context_countRetry() - count a retry by its reason */
 void Context_countRetry(Context_t *this, const char *reason,
                         const char *target, const char *customer_class);
 
--- a/src/CrashGuard.c
+++ b/src/CrashGuard.c
@@ -318,7 +318,7 @@
     this->requests = g_hash_table_new(g_direct_hash, g_direct_equal);
     this->local_crashes = LocalCrashes_create();
     this->expire_timer = Clock_timer(base, on_expire, this);
-    StoreEpoch_listen(spec->epoch, on_store_restored, this);
+    StoreEpoch_addListener(spec->epoch, on_store_restored, this);
     Clock_arm(this->expire_timer, EXPIRE_INTERVAL_MS);
     return this;
 }
@@ -326,7 +326,7 @@
 void
 CrashGuard_destroy(CrashGuard_t *this)
 {
-    StoreEpoch_leave(this->spec.epoch, this);
+    StoreEpoch_removeListener(this->spec.epoch, this);
     event_free(this->expire_timer);
     LocalCrashes_destroy(this->local_crashes);
     g_hash_table_destroy(this->requests);
--- a/src/CrashRecords.c
+++ b/src/CrashRecords.c
@@ -178,7 +178,7 @@
     g_string_assign(this->writing_key, key);
     this->writing_value = value ? g_bytes_ref(value) : NULL;
     StoreCalls_note(this->spec.counters, this->spec.topic,
-                    this->failures > 0 ? STORE_RETRY : STORE_KEEP);
+                    this->failures > 0 ? STORE_RETRY : STORE_WRITE);
     RecordSource_put(this->spec.source, this->spec.topic,
                      this->writing_key->str, this->writing_value, on_put,
                      this);
--- a/src/Exchange.c
+++ b/src/Exchange.c
@@ -292,7 +292,7 @@
 static gboolean
 is_upstream_fault(AttemptEnd_t end)
 {
-    return end != ATTEMPT_WHOLE && end != ATTEMPT_NOT_RUN &&
+    return end != ATTEMPT_COMPLETE && end != ATTEMPT_NOT_RUN &&
            end != ATTEMPT_REJECTED && end != ATTEMPT_TAKEN_BACK &&
            end != ATTEMPT_WITHDRAWN && end != ATTEMPT_MOVED;
 }
@@ -344,7 +344,7 @@
 Exchange_noteAttemptEnd(Exchange_t *this, AttemptEnd_t end)
 {
     note_failure(this, end);
-    if (end == ATTEMPT_WHOLE) {
+    if (end == ATTEMPT_COMPLETE) {
         Upstream_noteSuccess(this->upstream);
     }
     if (!Recovery_isUnsent(end) && end != ATTEMPT_NOT_RUN &&
@@ -354,7 +354,7 @@
     set_upstream(&this->avoid, this->upstream);
     release_attempt(this, Recovery_endName(end));
     Exchange_noteCrashEvidence(this, this->avoid, end);
-    if (end == ATTEMPT_WHOLE && this->request_hashes) {
+    if (end == ATTEMPT_COMPLETE && this->request_hashes) {
         note_complete(this);
     }
 }
@@ -365,10 +365,10 @@
     set_upstream(&this->avoid, NULL);
 }
 
-static RecoveryFacts_t
+static RecoveryInput_t
 recovery_input(const Exchange_t *this, AttemptEnd_t end)
 {
-    RecoveryFacts_t input = {
+    RecoveryInput_t input = {
         .end = end,
         .sent = this->sent,
         .repeatable = this->repeatable,
@@ -388,10 +388,10 @@
 gboolean
 Exchange_mayRetry(const Exchange_t *this)
 {
-    RecoveryFacts_t input = recovery_input(this, ATTEMPT_SILENT);
+    RecoveryInput_t input = recovery_input(this, ATTEMPT_SILENT);
     input.sent = TRUE;
-    RecoveryPlan_t plan = Recovery_decide(&input);
-    return plan.step != RECOVERY_GIVE_UP;
+    RecoveryDecision_t plan = Recovery_decide(&input);
+    return plan.action != RECOVERY_GIVE_UP;
 }
 
 void
@@ -400,7 +400,7 @@
     if (this->silence_counted) {
         return;
     }
-    RecoveryFacts_t input = recovery_input(this, ATTEMPT_SILENT);
+    RecoveryInput_t input = recovery_input(this, ATTEMPT_SILENT);
     ExchangeLog_silentAttempt(this, &input);
     note_failure(this, ATTEMPT_SILENT);
     this->silence_counted = TRUE;
@@ -425,10 +425,10 @@
 void
 Exchange_recover(Exchange_t *this, AttemptEnd_t end, const char *detail)
 {
-    RecoveryFacts_t input = recovery_input(this, end);
-    RecoveryPlan_t plan = Recovery_decide(&input);
+    RecoveryInput_t input = recovery_input(this, end);
+    RecoveryDecision_t plan = Recovery_decide(&input);
     ExchangeLog_recovery(this, &input, &plan);
-    if (plan.step == RECOVERY_GIVE_UP) {
+    if (plan.action == RECOVERY_GIVE_UP) {
         abandon_stream(this);
         Exchange_refuse(this, plan.refusal, plan.run, detail);
         return;
@@ -438,7 +438,7 @@
     }
     Context_countRetry(this->context, Recovery_endName(end), this->target->str,
                        this->customer_class->str);
-    if (plan.step == RECOVERY_RESUME) {
+    if (plan.action == RECOVERY_RESUME) {
         this->class->resume(this);
         return;
     }
@@ -526,7 +526,7 @@
 RunState_t
 Exchange_runState(const Exchange_t *this)
 {
-    RecoveryFacts_t input = {.sent = this->sent};
+    RecoveryInput_t input = {.sent = this->sent};
     if (this->class->facts) {
         this->class->facts(this, &input);
     }
--- a/src/ExchangeLog.c
+++ b/src/ExchangeLog.c
@@ -113,7 +113,7 @@
 }
 
 static void
-log_recovery_input(const Exchange_t *this, const RecoveryFacts_t *input)
+log_recovery_input(const Exchange_t *this, const RecoveryInput_t *input)
 {
     Log_number("attempts", input->attempts);
     Log_number("max_attempts", input->max_attempts);
@@ -124,7 +124,7 @@
 }
 
 void
-ExchangeLog_silentAttempt(const Exchange_t *this, const RecoveryFacts_t *input)
+ExchangeLog_silentAttempt(const Exchange_t *this, const RecoveryInput_t *input)
 {
     Log_begin(LOG_LEVEL_INFO, "attempt_kept");
     Log_text("request", this->id->str);
@@ -135,13 +135,13 @@
 }
 
 void
-ExchangeLog_recovery(const Exchange_t *this, const RecoveryFacts_t *input,
-                     const RecoveryPlan_t *plan)
+ExchangeLog_recovery(const Exchange_t *this, const RecoveryInput_t *input,
+                     const RecoveryDecision_t *plan)
 {
     Log_begin(LOG_LEVEL_INFO, "attempt_failed");
     Log_text("request", this->id->str);
     Log_text("reason", Recovery_endName(input->end));
-    Log_text("next", Recovery_stepName(plan->step));
+    Log_text("next", Recovery_actionName(plan->action));
     if (this->avoid) {
         Log_text("upstream", this->avoid->name->str);
     }
--- a/src/ExchangeLog.h
+++ b/src/ExchangeLog.h
@@ -35,10 +35,10 @@
 /** ExchangeLog_silentAttempt() - the current attempt is silent and is not
  * given up */
 void ExchangeLog_silentAttempt(const Exchange_t *this,
-                               const RecoveryFacts_t *input);
+                               const RecoveryInput_t *input);
 
 /** ExchangeLog_recovery() - the step that follows a failed attempt */
-void ExchangeLog_recovery(const Exchange_t *this, const RecoveryFacts_t *input,
-                          const RecoveryPlan_t *plan);
+void ExchangeLog_recovery(const Exchange_t *this, const RecoveryInput_t *input,
+                          const RecoveryDecision_t *plan);
 
 #endif
--- a/src/ExchangeState.h
+++ b/src/ExchangeState.h
@@ -35,7 +35,7 @@
     void (*place)(Exchange_t *this);
     gboolean (*drop)(Exchange_t *this);
     void (*refuse)(Exchange_t *this, const RefusalNotice_t *notice);
-    void (*facts)(const Exchange_t *this, RecoveryFacts_t *facts);
+    void (*facts)(const Exchange_t *this, RecoveryInput_t *facts);
     void (*resume)(Exchange_t *this);
     void (*abandon)(Exchange_t *this);
     void (*log_end)(const Exchange_t *this);
--- a/src/FreshnessRelay.c
+++ b/src/FreshnessRelay.c
@@ -3,18 +3,22 @@
 #include "Clock.h"
 #include "PeerAge.h"
 
-/* Routers that ask often: one may be gone and one cut off. */
-#define READERS 3
-/* Name under which routers are ranked for it. */
+/* Routers that poll the store. With three, one may be down and another one
+ * cut off. */
+#define READER_COUNT 3
+/* Key by which routers are ranked for the choice of the readers. */
 #define RANK_KEY "freshness"
-/* News is passed on as it comes, but not more often than this: to wait at each
- * of the five or six links that lie between two of 1,000 routers would make it
- * older than what each waits for before it asks the store. */
+/* Interval of the ticks and minimum interval between two broadcasts. An update
+ * that comes later than that after the last broadcast is passed on at once. If
+ * it waited for the tick at each of the five or six links between two of 1,000
+ * routers, it would exceed the age at which each router asks the store itself.
+ */
 #define TICK_MS 200
-/* A loop that turns so much later than it should has stood still, or its
- * process has; a busy one is late by less. */
-#define STANDSTILL_MS 300
-/* What came in the meantime has been read so long after it went on. */
+/* A tick that is later than this shows that the event loop or the process has
+ * stalled. A loop that is merely busy is late by less. */
+#define STALL_MS 300
+/* Time after a stall within which the messages that came during the stall
+ * have been read. */
 #define CATCH_UP_MS 200
 
 struct FreshnessRelay {
@@ -23,11 +27,11 @@
     void *owner;
     struct event *tick;
     StorePosition_t end;
-    gint64 at_ms;        /* 0 for never */
-    gint64 told_ms;      /* the time that was told last */
-    gint64 sent_ms;      /* when that was */
-    gint64 turned_ms;    /* when the last tick was */
-    gint64 caught_up_ms; /* peers' news before may be older than they say */
+    gint64 at_ms;           /* when the topic ended there; 0 for never */
+    gint64 broadcast_at_ms; /* at_ms of the last broadcast */
+    gint64 sent_ms;         /* time of the last broadcast */
+    gint64 ticked_ms;       /* time of the last tick */
+    gint64 caught_up_ms;    /* until then peers' messages may be stale */
 };
 
 static Wt__ConfigCurrent
@@ -42,19 +46,19 @@
 }
 
 static void
-send_to_linked(FreshnessRelay_t *this)
+broadcast_current(FreshnessRelay_t *this)
 {
     Wt__ConfigCurrent current = make_current(this);
     Wt__PeerMessage message = WT__PEER_MESSAGE__INIT;
     message.body_case = WT__PEER_MESSAGE__BODY_CONFIG_CURRENT;
     message.config_current = &current;
     Membership_broadcast(this->membership, &message);
-    this->told_ms = this->at_ms;
+    this->broadcast_at_ms = this->at_ms;
     this->sent_ms = Clock_nowMs();
 }
 
 void
-FreshnessRelay_introduce(const FreshnessRelay_t *this, Member_t *member)
+FreshnessRelay_syncPeer(const FreshnessRelay_t *this, Member_t *member)
 {
     Wt__ConfigCurrent current = make_current(this);
     Wt__PeerMessage message = WT__PEER_MESSAGE__INIT;
@@ -65,11 +69,12 @@
     }
 }
 
-/* Where all are linked with all, the readers' own word is enough. */
+/* In a full mesh the readers reach every router, so no other router needs to
+ * pass their updates on. */
 static gboolean
-is_to_tell(const FreshnessRelay_t *this)
+should_broadcast(const FreshnessRelay_t *this)
 {
-    if (this->at_ms < this->told_ms + TICK_MS) {
+    if (this->at_ms < this->broadcast_at_ms + TICK_MS) {
         return FALSE;
     }
     return FreshnessRelay_isReader(this) ||
@@ -77,25 +82,25 @@
 }
 
 void
-FreshnessRelay_tellNow(FreshnessRelay_t *this)
+FreshnessRelay_broadcastNow(FreshnessRelay_t *this)
 {
-    send_to_linked(this);
+    broadcast_current(this);
 }
 
 static gboolean
-stood_still(const FreshnessRelay_t *this, gint64 now_ms)
+has_stalled(const FreshnessRelay_t *this, gint64 now_ms)
 {
-    return now_ms - this->turned_ms > TICK_MS + STANDSTILL_MS;
+    return now_ms - this->ticked_ms > TICK_MS + STALL_MS;
 }
 
 static void
-note_turn(FreshnessRelay_t *this)
+note_tick(FreshnessRelay_t *this)
 {
     gint64 now_ms = Clock_nowMs();
-    if (stood_still(this, now_ms)) {
+    if (has_stalled(this, now_ms)) {
         this->caught_up_ms = now_ms + CATCH_UP_MS;
     }
-    this->turned_ms = now_ms;
+    this->ticked_ms = now_ms;
 }
 
 static void
@@ -104,9 +109,9 @@
     (void)fd;
     (void)what;
     FreshnessRelay_t *this = data;
-    note_turn(this);
-    if (is_to_tell(this)) {
-        send_to_linked(this);
+    note_tick(this);
+    if (should_broadcast(this)) {
+        broadcast_current(this);
     }
     Clock_arm(this->tick, TICK_MS);
 }
@@ -119,7 +124,7 @@
     this->membership = membership;
     this->events = events;
     this->owner = owner;
-    this->turned_ms = Clock_nowMs();
+    this->ticked_ms = Clock_nowMs();
     this->tick = Clock_timer(base, on_tick, this);
     Clock_arm(this->tick, TICK_MS);
     return this;
@@ -143,11 +148,12 @@
 gboolean
 FreshnessRelay_isReader(const FreshnessRelay_t *this)
 {
-    return FreshnessRelay_rank(this) < READERS;
+    return FreshnessRelay_rank(this) < READER_COUNT;
 }
 
 void
-FreshnessRelay_note(FreshnessRelay_t *this, StorePosition_t end, gint64 at_ms)
+FreshnessRelay_noteEnd(FreshnessRelay_t *this, StorePosition_t end,
+                       gint64 at_ms)
 {
     if (at_ms > this->at_ms || StorePosition_compare(end, this->end) > 0) {
         this->end = end;
@@ -156,35 +162,35 @@
 }
 
 static void
-pass_on(FreshnessRelay_t *this)
+relay_update(FreshnessRelay_t *this)
 {
-    if (is_to_tell(this) && Clock_nowMs() - this->sent_ms >= TICK_MS) {
-        send_to_linked(this);
+    if (should_broadcast(this) && Clock_nowMs() - this->sent_ms >= TICK_MS) {
+        broadcast_current(this);
     }
 }
 
-/* An age counts from when the message is read. While this router stands still
- * messages wait, so that what they tell seems newer than it is, and a key that
- * was revoked since would be let in. */
+/* The age of a message counts from the time at which it is read. Messages
+ * that wait while this router is stalled therefore seem newer than they are,
+ * and a key that was revoked in the meantime would be accepted. */
 gboolean
-FreshnessRelay_mayHaveWaited(const FreshnessRelay_t *this)
+FreshnessRelay_mayBeStale(const FreshnessRelay_t *this)
 {
     gint64 now_ms = Clock_nowMs();
-    return stood_still(this, now_ms) || now_ms < this->caught_up_ms;
+    return has_stalled(this, now_ms) || now_ms < this->caught_up_ms;
 }
 
 void
-FreshnessRelay_take(FreshnessRelay_t *this, Member_t *from,
-                    const Wt__ConfigCurrent *message)
+FreshnessRelay_receive(FreshnessRelay_t *this, Member_t *from,
+                       const Wt__ConfigCurrent *message)
 {
-    if (FreshnessRelay_mayHaveWaited(this)) {
+    if (FreshnessRelay_mayBeStale(this)) {
         return;
     }
     gint64 at_ms = PeerAge_atMs(message->age_ms);
     StorePosition_t end = {message->epoch, message->offset};
     if (at_ms > this->at_ms &&
         this->events->fresh(this->owner, from, end, at_ms)) {
-        FreshnessRelay_note(this, end, at_ms);
-        pass_on(this);
+        FreshnessRelay_noteEnd(this, end, at_ms);
+        relay_update(this);
     }
 }
--- a/src/FreshnessRelay.h
+++ b/src/FreshnessRelay.h
@@ -3,22 +3,24 @@
 /**
  * DOC: FreshnessRelay
  *
- * A few routers ask the store often whether the operators' records have an
- * end that is known; they tell the others the offset of that end and how old
- * the knowledge is. Who has read up to the same offset knows that nothing
- * newer existed then, without a call of its own. Ages are counted by the
- * monotonic clock and only grow on the way.
+ * A few routers, the readers, poll the store for the end of the topic of the
+ * operators' records. They send the offset of that end, and the age of this
+ * knowledge, to the other routers. A router that has read up to the same
+ * offset knows, without a call of its own, that no newer record existed at
+ * that time. Ages are measured by the monotonic clock; relaying an update
+ * only increases its age.
  */
 #include "Membership.h"
 #include "StorePosition.h"
 
 /**
- * struct FreshnessRelayEvents_t - what it tells its owner
- * @fresh: the topic ended at @end at the time @at_ms (monotonic), as
- *     router @from tells, which is valid during the call; TRUE where all
- *     records before it are known here, so that it may be passed on: who hears
- *     of it asks for them
- * @version: of the configuration in force, which is told along; 0 for none
+ * struct FreshnessRelayEvents_t - callbacks to the owner of the relay
+ * @fresh: a peer reports that the topic ended at @end at the time @at_ms
+ *     (monotonic). @from is the peer, valid during the call. Returns TRUE if
+ *     this router has all records before @end. Only then is the update passed
+ *     on, because routers that receive it ask this router for the records.
+ * @version: returns the version of the configuration in force, which is sent
+ *     along; 0 for none
  */
 typedef struct {
     gboolean (*fresh)(void *owner, Member_t *from, StorePosition_t end,
@@ -29,7 +31,7 @@
 /** struct FreshnessRelay_t - opaque */
 typedef struct FreshnessRelay FreshnessRelay_t;
 
-/** FreshnessRelay_create() - knows nothing yet */
+/** FreshnessRelay_create() - a relay that knows no end yet */
 FreshnessRelay_t *FreshnessRelay_create(struct event_base *base,
                                         Membership_t *membership,
                                         const FreshnessRelayEvents_t *events,
@@ -38,31 +40,34 @@
 /** FreshnessRelay_destroy() - free it */
 void FreshnessRelay_destroy(FreshnessRelay_t *this);
 
-/** FreshnessRelay_rank() - this router's place among those that ask; none,
- * G_MAXUINT, before it had time to learn of the others */
+/** FreshnessRelay_rank() - this router's rank in the order in which routers
+ * become readers; G_MAXUINT until membership has converged */
 guint FreshnessRelay_rank(const FreshnessRelay_t *this);
 
-/** FreshnessRelay_isReader() - whether this router is to ask often; never
- * before it had time to learn of the others */
+/** FreshnessRelay_isReader() - whether this router is a reader; FALSE until
+ * membership has converged */
 gboolean FreshnessRelay_isReader(const FreshnessRelay_t *this);
 
-/** FreshnessRelay_note() - this router has asked the store itself */
-void FreshnessRelay_note(FreshnessRelay_t *this, StorePosition_t end,
-                         gint64 at_ms);
+/** FreshnessRelay_noteEnd() - record an end that this router read from the
+ * store at @at_ms */
+void FreshnessRelay_noteEnd(FreshnessRelay_t *this, StorePosition_t end,
+                            gint64 at_ms);
 
-/** FreshnessRelay_mayHaveWaited() - whether what a peer has sent may have
- * waited here, so that it is older than it says */
-gboolean FreshnessRelay_mayHaveWaited(const FreshnessRelay_t *this);
+/** FreshnessRelay_mayBeStale() - whether messages of peers may have waited
+ * here unread, which makes them older than the age that they give */
+gboolean FreshnessRelay_mayBeStale(const FreshnessRelay_t *this);
 
-/** FreshnessRelay_take() - a peer's message; passed over where it may have
- * waited here, as its age is not known then */
-void FreshnessRelay_take(FreshnessRelay_t *this, Member_t *from,
-                         const Wt__ConfigCurrent *message);
+/** FreshnessRelay_receive() - receive a peer's message; ignored if it may be
+ * stale, as its age is unknown then */
+void FreshnessRelay_receive(FreshnessRelay_t *this, Member_t *from,
+                            const Wt__ConfigCurrent *message);
 
-/** FreshnessRelay_introduce() - tell a router that was linked just now */
-void FreshnessRelay_introduce(const FreshnessRelay_t *this, Member_t *member);
+/** FreshnessRelay_syncPeer() - send the known end, if any, to a peer that
+ * just connected */
+void FreshnessRelay_syncPeer(const FreshnessRelay_t *this, Member_t *member);
 
-/** FreshnessRelay_tellNow() - do not wait for the next turn */
-void FreshnessRelay_tellNow(FreshnessRelay_t *this);
+/** FreshnessRelay_broadcastNow() - broadcast without waiting for the next
+ * tick */
+void FreshnessRelay_broadcastNow(FreshnessRelay_t *this);
 
 #endif
--- a/src/KeyedLog.c
+++ b/src/KeyedLog.c
@@ -7,14 +7,14 @@
 typedef struct {
     RecordSource_t super;
     LogClient_t *log;
-    GHashTable *calls; /* set of Call_t under way */
+    GHashTable *calls; /* set of Call_t that wait for the log */
 } KeyedLog_t;
 
 typedef struct {
     KeyedLog_t *owner;
     GString *topic;
-    GHashTable *newest; /* of a list: key -> KeyedRecord_t; else NULL */
-    StorePosition_t from;
+    GHashTable *newest;   /* key -> KeyedRecord_t; NULL except for a list */
+    StorePosition_t next; /* of a list: position of the next read */
     KeyedPageDone_t done;
     KeyedPutDone_t put;
     void *data;
@@ -45,15 +45,15 @@
 }
 
 static void
-end_call(Call_t *call)
+remove_call(Call_t *call)
 {
     g_hash_table_remove(call->owner->calls, call);
 }
 
 static StorePosition_t
-position_of(const LogRecords_t *log, guint64 place)
+position_of(const LogRecords_t *log, guint64 idx)
 {
-    return (StorePosition_t){log->epoch, log->first + place};
+    return (StorePosition_t){log->epoch, log->first + idx};
 }
 
 static GPtrArray *
@@ -63,7 +63,7 @@
     for (guint i = 0; i < log->records->len; i++) {
         GBytes *bytes = g_ptr_array_index(log->records, i);
         g_ptr_array_add(records,
-                        KeyedRecord_split(bytes, position_of(log, i)));
+                        KeyedRecord_decode(bytes, position_of(log, i)));
     }
     return records;
 }
@@ -82,7 +82,7 @@
         call->done(&page, NULL, call->data);
         g_ptr_array_unref(page.records);
     }
-    end_call(call);
+    remove_call(call);
 }
 
 static void
@@ -96,9 +96,9 @@
 }
 
 static void
-end_list(Call_t *call)
+finish_list(Call_t *call)
 {
-    KeyedPage_t page = {.records = g_ptr_array_new(), .end = call->from};
+    KeyedPage_t page = {.records = g_ptr_array_new(), .end = call->next};
     GHashTableIter iter;
     gpointer value = NULL;
     g_hash_table_iter_init(&iter, call->newest);
@@ -109,47 +109,49 @@
     }
     call->done(&page, NULL, call->data);
     g_ptr_array_unref(page.records);
-    end_call(call);
+    remove_call(call);
 }
 
 static void
-fold(Call_t *call, const LogRecords_t *log)
+fold_records(Call_t *call, const LogRecords_t *log)
 {
     g_autoptr(GPtrArray) records = split_records(log);
     for (guint i = 0; i < records->len; i++) {
         KeyedRecord_t *record = g_ptr_array_index(records, i);
         g_hash_table_replace(call->newest, record->key->str, record);
     }
-    call->from = position_of(log, log->records->len);
+    call->next = position_of(log, log->records->len);
 }
 
 static void
-read_on(Call_t *call)
+read_next(Call_t *call)
 {
-    LogClient_read(call->owner->log, call->topic->str, call->from.offset, 0,
+    LogClient_read(call->owner->log, call->topic->str, call->next.offset, 0,
                    on_list, call);
 }
 
-/* Where the oldest records are gone it goes on behind them. */
+/* If the log no longer has the offset, continues at the oldest record that it
+ * has. */
 static void
 on_list_error(Call_t *call, const LogRecords_t *log, const GError *error)
 {
     if (log) {
-        call->from = (StorePosition_t){log->epoch, log->start};
-        read_on(call);
+        call->next = (StorePosition_t){log->epoch, log->start};
+        read_next(call);
         return;
     }
     call->done(NULL, error, call->data);
-    end_call(call);
+    remove_call(call);
 }
 
-/* The log has come back older in the middle of the list. */
+/* The log came back older while it was listed. Records of two epochs must not
+ * be mixed, so the list starts again. */
 static void
-list_anew(Call_t *call, guint64 epoch)
+restart_list(Call_t *call, guint64 epoch)
 {
     g_hash_table_remove_all(call->newest);
-    call->from = (StorePosition_t){.epoch = epoch};
-    read_on(call);
+    call->next = (StorePosition_t){.epoch = epoch};
+    read_next(call);
 }
 
 static void
@@ -160,23 +162,23 @@
         on_list_error(call, log, error);
         return;
     }
-    if (call->from.offset > 0 && call->from.epoch != log->epoch) {
-        list_anew(call, log->epoch);
+    if (call->next.offset > 0 && call->next.epoch != log->epoch) {
+        restart_list(call, log->epoch);
         return;
     }
-    fold(call, log);
-    if (call->from.offset >= log->head) {
-        end_list(call);
+    fold_records(call, log);
+    if (call->next.offset >= log->head) {
+        finish_list(call);
     }
     else {
-        read_on(call);
+        read_next(call);
     }
 }
 
-/* All of it is one page. */
+/* The whole list is one page, so @after is not used. */
 static void
-list(RecordSource_t *super, const char *topic, const char *after,
-     KeyedPageDone_t done, void *data)
+list_records(RecordSource_t *super, const char *topic, const char *after,
+             KeyedPageDone_t done, void *data)
 {
     (void)after;
     KeyedLog_t *this = (KeyedLog_t *)super;
@@ -193,7 +195,7 @@
     (void)offset;
     Call_t *call = data;
     call->put(error, call->data);
-    end_call(call);
+    remove_call(call);
 }
 
 static void
@@ -202,7 +204,7 @@
 {
     KeyedLog_t *this = (KeyedLog_t *)super;
     Call_t *call = make_call(this, topic, data);
-    g_autoptr(GBytes) record = KeyedRecord_join(key, value);
+    g_autoptr(GBytes) record = KeyedRecord_encode(key, value);
     call->put = done;
     LogClient_append(this->log, topic, record, on_appended, call);
 }
@@ -217,7 +219,7 @@
 
 static const RecordSourceClass_t class = {
     .destroy = destroy,
-    .list = list,
+    .list = list_records,
     .read = read_from,
     .put = put_record,
 };
--- a/src/KeyedLog.h
+++ b/src/KeyedLog.h
@@ -3,16 +3,17 @@
 /**
  * DOC: KeyedLog
  *
- * Records with keys on a plain append-only log, for platforms whose log has
- * none of its own: a record is its key's length in one byte, the key, and the
- * value. A list is read from the oldest record that the log keeps, so that it
- * suits topics of few records that need not outlive the log's retention.
+ * Implements keyed topics on a plain append-only log, for platforms whose log
+ * has no keys. A record consists of its key's length in one byte, the key, and
+ * the value. Each list reads the whole log from its oldest retained record, so
+ * this suits topics of few records that need not outlive the log's retention.
  */
 #include "LogClient.h"
 #include "RecordSource.h"
 
-/** KeyedLog_create() - a view of a log, which must be freed first: it answers
- * nothing afterwards */
+/** KeyedLog_create() - a record source on @log. Free @log before the
+ * source: a freed log client does not answer open calls, so no callback uses
+ * the freed source. */
 RecordSource_t *KeyedLog_create(LogClient_t *log);
 
 #endif
--- a/src/KeyedRecord.c
+++ b/src/KeyedRecord.c
@@ -25,7 +25,7 @@
 }
 
 KeyedRecord_t *
-KeyedRecord_split(GBytes *bytes, StorePosition_t position)
+KeyedRecord_decode(GBytes *bytes, StorePosition_t position)
 {
     gsize length = 0;
     const char *data = g_bytes_get_data(bytes, &length);
@@ -33,13 +33,15 @@
     if (length < 1 + key_length) {
         return KeyedRecord_create("", 0, NULL, position);
     }
-    gsize rest = length - 1 - key_length;
-    GBytes *value = rest > 0 ? g_bytes_new(data + 1 + key_length, rest) : NULL;
+    gsize value_length = length - 1 - key_length;
+    GBytes *value = value_length > 0
+                        ? g_bytes_new(data + 1 + key_length, value_length)
+                        : NULL;
     return KeyedRecord_create(data + 1, key_length, value, position);
 }
 
 GBytes *
-KeyedRecord_join(const char *key, GBytes *value)
+KeyedRecord_encode(const char *key, GBytes *value)
 {
     guint8 key_length = (guint8)MIN(strlen(key), KEYED_RECORD_KEY_MAX);
     gsize length = 0;
--- a/src/KeyedRecord.h
+++ b/src/KeyedRecord.h
@@ -3,8 +3,8 @@
 /**
  * DOC: KeyedRecord
  *
- * One record of a topic with keys, and the form in which it stands in a log:
- * the key's length in one byte, the key, and what remains is the value.
+ * One record of a keyed topic, and its encoding in a plain log: the key's
+ * length in one byte, the key, and the value in the remaining bytes.
  */
 #include "StorePosition.h"
 
@@ -13,9 +13,9 @@
 
 /**
  * struct KeyedRecord_t - one record
- * @key: what it is about
- * @value: NULL where the key was removed
- * @position: its place in the topic
+ * @key: a later record of the topic with the same key replaces this one
+ * @value: NULL if the record removes the key
+ * @position: of the record in the topic
  */
 typedef struct {
     GString *key;
@@ -23,19 +23,21 @@
     StorePosition_t position;
 } KeyedRecord_t;
 
-/** KeyedRecord_create() - @value is taken over */
+/** KeyedRecord_create() - a new record, which takes ownership of
+ * @value */
 KeyedRecord_t *KeyedRecord_create(const char *key, gsize key_length,
                                   GBytes *value, StorePosition_t position);
 
 /** KeyedRecord_free() - free one record */
 void KeyedRecord_free(gpointer record);
 
-/** KeyedRecord_split() - from the bytes of a log; a record of an empty key
- * without a value where they are none */
-KeyedRecord_t *KeyedRecord_split(GBytes *bytes, StorePosition_t position);
+/** KeyedRecord_decode() - decode the bytes of a log record; a record with an
+ * empty key and no value if they are malformed */
+KeyedRecord_t *KeyedRecord_decode(GBytes *bytes, StorePosition_t position);
 
-/** KeyedRecord_join() - the bytes for a log; a longer key is cut off
+/** KeyedRecord_encode() - encode a log record; a key longer than
+ * KEYED_RECORD_KEY_MAX is truncated
  * @value: NULL to remove the key */
-GBytes *KeyedRecord_join(const char *key, GBytes *value);
+GBytes *KeyedRecord_encode(const char *key, GBytes *value);
 
 #endif
--- a/src/Lease.c
+++ b/src/Lease.c
@@ -291,7 +291,7 @@
     if (duration_ms == 0) {
         return STORE_RELEASE;
     }
-    return this->number != 0 ? STORE_RENEW : STORE_TAKE;
+    return this->number != 0 ? STORE_RENEW : STORE_ACQUIRE;
 }
 
 static void
--- a/src/NativeParts.c
+++ b/src/NativeParts.c
@@ -13,9 +13,9 @@
 #include "Problem.h"
 #include "StopPlans.h"
 
-/* How long a router waits before it asks a log again that did not answer. */
+/* Delay before a failed call to the log is repeated. */
 #define LOG_RETRY_MS 500
-/* Stream of the requests that are held back. */
+/* Stream of the quarantined requests. */
 #define CRASH_STREAM "crashes"
 
 struct NativeParts {
@@ -29,7 +29,8 @@
     StopPlans_t *plans;
 };
 
-/* Faults were shown by `check`; at a start they only leave objects out. */
+/* Faults in declarations are reported by the command `check`. At a start,
+ * faulty objects are skipped. */
 static void
 load_bootstrap(NativeParts_t *this)
 {
@@ -155,8 +156,8 @@
 }
 
 void
-NativeParts_take(NativeParts_t *this, Member_t *from,
-                 const Wt__PeerMessage *message)
+NativeParts_receive(NativeParts_t *this, Member_t *from,
+                    const Wt__PeerMessage *message)
 {
     switch (message->body_case) {
     case WT__PEER_MESSAGE__BODY_CONFIG_PULL:
@@ -165,7 +166,7 @@
         break;
     case WT__PEER_MESSAGE__BODY_CLAIM_CALL:
     case WT__PEER_MESSAGE__BODY_CLAIM_REPLY:
-        Claims_take(this->context->claims, from, message);
+        Claims_receive(this->context->claims, from, message);
         break;
     default:
         break;
--- a/src/OnceGuard.c
+++ b/src/OnceGuard.c
@@ -6,17 +6,22 @@
 #include "Clock.h"
 
 #define UUID_LENGTH 36
-#define UUID_VERSION_PLACE 14
-/* Hex digits of a version 7 UUID before its version: 48 bits of time. */
+#define UUID_VERSION_IDX 14
+/* A version 7 UUID begins with 48 bits of time: 12 hex digits. */
 #define TIME_DIGITS 12
-/* How far a caller's clock may be ahead of ours. */
+/* How far a caller's clock may be ahead of this router's. */
 #define CLOCK_MARGIN_MS 30000
 
-/* A claim is given up so long before the request's deadline, so that the
- * refusal still says why. */
-#define GIVE_UP_EARLY_MS 50
+/* A claim times out this long before the request's deadline, so that the
+ * refusal can still give the claim as its reason. */
+#define CLAIM_MARGIN_MS 50
 
-typedef enum { IDLE, CLAIMING, HELD, DENIED } GuardState_t;
+typedef enum {
+    GUARD_IDLE,
+    GUARD_CLAIMING,
+    GUARD_GRANTED,
+    GUARD_DENIED,
+} GuardState_t;
 
 struct OnceGuard {
     OnceGuardSpec_t spec;
@@ -24,7 +29,7 @@
     ClaimId_t attempt;
     gint64 key_time_ms;
     GuardState_t state;
-    gboolean ended; /* its request is gone, the claim is still under way */
+    gboolean ended; /* the request has ended, its claim is still open */
     OnceGuardDone_t done;
     void *data;
 };
@@ -32,7 +37,7 @@
 static gboolean
 is_uuid7(const char *text)
 {
-    if (strlen(text) != UUID_LENGTH || text[UUID_VERSION_PLACE] != '7') {
+    if (strlen(text) != UUID_LENGTH || text[UUID_VERSION_IDX] != '7') {
         return FALSE;
     }
     for (guint i = 0; i < UUID_LENGTH; i++) {
@@ -48,11 +53,11 @@
 time_of_uuid7(const char *text)
 {
     gint64 time_ms = 0;
-    guint digits = 0;
-    for (const char *at = text; digits < TIME_DIGITS; at++) {
+    guint digit_count = 0;
+    for (const char *at = text; digit_count < TIME_DIGITS; at++) {
         if (*at != '-') {
             time_ms = time_ms * 16 + g_ascii_xdigit_value(*at);
-            digits++;
+            digit_count++;
         }
     }
     return time_ms;
@@ -64,9 +69,9 @@
     crypto_generichash_update(state, (const guint8 *)text, strlen(text) + 1);
 }
 
-/* Hex digits mean the same in either case. */
+/* Lowers the key's hex digits, as upper and lower case mean the same UUID. */
 static void
-make_key(const OnceGuardSpec_t *spec, ClaimId_t *key)
+hash_key(const OnceGuardSpec_t *spec, ClaimId_t *key)
 {
     g_autofree char *lower = g_ascii_strdown(spec->key, -1);
     crypto_generichash_state state;
@@ -94,16 +99,16 @@
     OnceGuard_t *this = g_new0(OnceGuard_t, 1);
     this->spec = *spec;
     this->key_time_ms = time_ms;
-    make_key(spec, &this->key);
+    hash_key(spec, &this->key);
     randombytes_buf(this->attempt.bytes, CLAIM_ID_BYTES);
     return this;
 }
 
 static void
-deny(OnceGuard_t *this, Wt__ClaimVerdict verdict)
+report_denied(OnceGuard_t *this, Wt__ClaimVerdict verdict)
 {
     OnceGuardDone_t done = this->done;
-    this->state = DENIED;
+    this->state = GUARD_DENIED;
     switch (verdict) {
     case WT__CLAIM_VERDICT__ALREADY_RAN:
         done(FALSE, REFUSAL_ALREADY_RAN, RUN_DONE, this->data);
@@ -125,7 +130,7 @@
 {
     OnceGuard_t *this = data;
     gboolean granted = verdict == WT__CLAIM_VERDICT__GRANTED;
-    this->state = granted ? HELD : DENIED;
+    this->state = granted ? GUARD_GRANTED : GUARD_DENIED;
     if (this->ended) {
         OnceGuard_end(this, RUN_NOT);
         return;
@@ -134,32 +139,32 @@
         this->done(TRUE, REFUSAL_COUNT, RUN_NOT, this->data);
         return;
     }
-    deny(this, verdict);
+    report_denied(this, verdict);
 }
 
 void
 OnceGuard_claim(OnceGuard_t *this, OnceGuardDone_t done, void *data)
 {
-    this->state = CLAIMING;
+    this->state = GUARD_CLAIMING;
     this->done = done;
     this->data = data;
-    Claims_acquire(
-        this->spec.claims, &this->key, &this->attempt, this->key_time_ms,
-        this->spec.deadline_ms - GIVE_UP_EARLY_MS, on_claimed, this);
+    Claims_acquire(this->spec.claims, &this->key, &this->attempt,
+                   this->key_time_ms, this->spec.deadline_ms - CLAIM_MARGIN_MS,
+                   on_claimed, this);
 }
 
 void
 OnceGuard_end(OnceGuard_t *this, RunState_t run)
 {
-    if (this->state == CLAIMING) {
+    if (this->state == GUARD_CLAIMING) {
         this->ended = TRUE;
         return;
     }
-    if (this->state == HELD && run == RUN_NOT) {
+    if (this->state == GUARD_GRANTED && run == RUN_NOT) {
         Claims_record(this->spec.claims, WT__CLAIM_KIND__RELEASE, &this->key,
                       &this->attempt);
     }
-    else if (this->state == HELD && run == RUN_DONE) {
+    else if (this->state == GUARD_GRANTED && run == RUN_DONE) {
         Claims_record(this->spec.claims, WT__CLAIM_KIND__OUTCOME, &this->key,
                       &this->attempt);
     }
--- a/src/OnceGuard.h
+++ b/src/OnceGuard.h
@@ -3,8 +3,9 @@
 /**
  * DOC: OnceGuard
  *
- * What a request that may run only once goes through: its key is checked,
- * claimed before anything is sent, and settled when the outcome is known.
+ * Guards a request that may run only once. The guard checks the request's key,
+ * claims it before anything is sent to an upstream, and records the outcome
+ * when it is known.
  */
 #include <glib.h>
 
@@ -13,12 +14,12 @@
 
 /**
  * struct OnceGuardSpec_t - a request that may run only once
- * @claims: of this router
- * @customer: whose key it is
+ * @claims: claims of this router
+ * @customer: customer that sent the key
  * @target: model or service
- * @key: the Idempotency-Key as it came
- * @horizon_ms: oldest age of a key
- * @deadline_ms: monotonic
+ * @key: the Idempotency-Key as received
+ * @horizon_ms: maximum age of a key
+ * @deadline_ms: monotonic deadline of the request
  */
 typedef struct {
     Claims_t *claims;
@@ -30,10 +31,10 @@
 } OnceGuardSpec_t;
 
 /**
- * OnceGuardDone_t - called once, unless the guard was destroyed before
+ * OnceGuardDone_t - called once, unless OnceGuard_end() is called before
  * @granted: whether the request may run
- * @refusal: else the reason
- * @run: and what is known of the key's request
+ * @refusal: the reason if it may not
+ * @run: whether the key's request has run, if this one may not
  */
 typedef void (*OnceGuardDone_t)(gboolean granted, Refusal_t refusal,
                                 RunState_t run, void *data);
@@ -42,10 +43,10 @@
 typedef struct OnceGuard OnceGuard_t;
 
 /**
- * OnceGuard_create() - check the key
- * @refusal: set to REFUSAL_KEY_REQUIRED or _BAD_KEY
+ * OnceGuard_create() - check the key and create its guard
+ * @refusal: set to REFUSAL_KEY_REQUIRED or REFUSAL_BAD_KEY
  *
- * Return: NULL where the key is at fault
+ * Return: NULL if the key is missing or invalid
  */
 OnceGuard_t *OnceGuard_create(const OnceGuardSpec_t *spec, Refusal_t *refusal);
 
@@ -53,8 +54,8 @@
 void OnceGuard_claim(OnceGuard_t *this, OnceGuardDone_t done, void *data);
 
 /**
- * OnceGuard_end() - settle and free it
- * @run: what is known of the request in the end
+ * OnceGuard_end() - record the outcome and free the guard
+ * @run: whether the request has run
  */
 void OnceGuard_end(OnceGuard_t *this, RunState_t run);
 
--- a/src/PlatformForm.h
+++ b/src/PlatformForm.h
@@ -3,9 +3,9 @@
 /**
  * DOC: PlatformForm
  *
- * All that one platform speaks, behind tables of functions: its store, its
- * configuration, its list of upstreams, and the relayed requests. The
- * program is given the form that its settings name; nothing else knows it.
+ * The protocols and formats of one platform, as tables of functions: its
+ * store, configuration, list of upstreams, and relayed requests. The settings
+ * name the form that the program uses; no other code depends on one platform.
  */
 #include <event2/event.h>
 
@@ -19,17 +19,17 @@
 
 /**
  * struct PlatformForm_t - one platform
- * @name: as the setting has it
- * @create_log: client of its log
- * @create_records: client of its keyed topics
- * @decode_config: a whole configuration, or NULL with an error
- * @decode_upstream: an entry of the list of upstreams
- * @decode_weights: a named version of weights: model and version
+ * @name: name of the form in the settings
+ * @create_log: creates a client of the platform's log
+ * @create_records: creates a client of the platform's keyed topics
+ * @decode_config: decodes a complete configuration; NULL with an error
+ * @decode_upstream: decodes an entry of the list of upstreams
+ * @decode_weights: decodes a named version of weights to model and version
  * @config_topic: keyed topic of the operators' records
- * @config_key: its record that holds the configuration
- * @weights_prefix: start of the keys of its records that name weights
+ * @config_key: key of the configuration in @config_topic
+ * @weights_prefix: prefix of the keys in @config_topic that name weights
  * @listing_topic: keyed topic of the list of upstreams
- * @crash_topic: keyed topic of requests that are held back, which is ours
+ * @crash_topic: keyed topic of quarantined requests, which the routers write
  * @caller: form of callers' requests
  * @upstream: form of upstreams' requests and answers
  * @orders: form of orders to engines
--- a/src/Recovery.c
+++ b/src/Recovery.c
@@ -1,13 +1,14 @@
 #include "Recovery.h"
 
-/* An engine that lets go of a stream again and again is given up. */
-#define MAX_RESUMES 3
+/* Resumes of one stream. An engine that interrupts it more often is given up.
+ */
+#define RESUMES_MAX 3
 
 const char *
 Recovery_endName(AttemptEnd_t end)
 {
     static const char *const names[] = {
-        [ATTEMPT_WHOLE] = "whole",           [ATTEMPT_NOT_SENT] = "not_sent",
+        [ATTEMPT_COMPLETE] = "whole",        [ATTEMPT_NOT_SENT] = "not_sent",
         [ATTEMPT_NOT_RUN] = "not_run",       [ATTEMPT_REJECTED] = "rejected",
         [ATTEMPT_FAILED] = "failed",         [ATTEMPT_CUT] = "cut",
         [ATTEMPT_SILENT] = "silent",         [ATTEMPT_MISMATCH] = "mismatch",
@@ -19,15 +20,15 @@
 }
 
 const char *
-Recovery_stepName(RecoveryStep_t step)
+Recovery_actionName(RecoveryAction_t action)
 {
     static const char *const names[] = {
         [RECOVERY_DONE] = "done",
         [RECOVERY_RESUME] = "resume",
-        [RECOVERY_ELSEWHERE] = "elsewhere",
+        [RECOVERY_RETRY] = "elsewhere",
         [RECOVERY_GIVE_UP] = "give_up",
     };
-    return names[step];
+    return names[action];
 }
 
 gboolean
@@ -37,19 +38,19 @@
 }
 
 static RunState_t
-run_state(const RecoveryFacts_t *facts)
+run_state(const RecoveryInput_t *input)
 {
-    if (facts->tokens > 0) {
+    if (input->tokens > 0) {
         return RUN_DONE;
     }
-    return facts->sent ? RUN_MAYBE : RUN_NOT;
+    return input->sent ? RUN_MAYBE : RUN_NOT;
 }
 
-static RecoveryPlan_t
-give_up(const RecoveryFacts_t *facts)
+static RecoveryDecision_t
+give_up(const RecoveryInput_t *input)
 {
     static const Refusal_t reasons[] = {
-        [ATTEMPT_WHOLE] = REFUSAL_UPSTREAM_FAILED,
+        [ATTEMPT_COMPLETE] = REFUSAL_UPSTREAM_FAILED,
         [ATTEMPT_NOT_SENT] = REFUSAL_NO_UPSTREAM,
         [ATTEMPT_NOT_RUN] = REFUSAL_UPSTREAM_REFUSED,
         [ATTEMPT_REJECTED] = REFUSAL_UPSTREAM_REFUSED,
@@ -63,57 +64,58 @@
         [ATTEMPT_WITHDRAWN] = REFUSAL_NO_UPSTREAM,
         [ATTEMPT_MOVED] = REFUSAL_UPSTREAM_FAILED,
     };
-    RecoveryPlan_t plan = {RECOVERY_GIVE_UP, reasons[facts->end],
-                           run_state(facts)};
-    if (!facts->time_left) {
-        plan.refusal = REFUSAL_DEADLINE_PASSED;
+    RecoveryDecision_t decision = {RECOVERY_GIVE_UP, reasons[input->end],
+                                   run_state(input)};
+    if (!input->time_left) {
+        decision.refusal = REFUSAL_DEADLINE_PASSED;
     }
-    else if (facts->rest_only) {
-        plan.refusal = REFUSAL_RESUME_GONE;
+    else if (input->resume_only) {
+        decision.refusal = REFUSAL_RESUME_GONE;
     }
-    else if (facts->tokens > 0) {
-        plan.refusal = REFUSAL_STREAM_CUT;
+    else if (input->tokens > 0) {
+        decision.refusal = REFUSAL_STREAM_CUT;
     }
-    return plan;
+    return decision;
 }
 
-/* A resume is no repeat: the engine runs nothing for it again. One that
- * brought nothing is not tried again where another engine may go on. */
+/* A resume is allowed for requests that are not repeatable, as the engine does
+ * not run the request again. After a resume that delivered no token, a
+ * repeatable request is retried on another engine instead. */
 static gboolean
-may_resume(const RecoveryFacts_t *facts)
+may_resume(const RecoveryInput_t *input)
 {
-    if (facts->was_resume && !facts->progressed && facts->repeatable) {
+    if (input->was_resume && !input->progressed && input->repeatable) {
         return FALSE;
     }
-    gboolean let_go =
-        facts->end == ATTEMPT_CUT || facts->end == ATTEMPT_SILENT;
-    return let_go && facts->stream_known && facts->resumes < MAX_RESUMES;
+    gboolean interrupted =
+        input->end == ATTEMPT_CUT || input->end == ATTEMPT_SILENT;
+    return interrupted && input->stream_known && input->resumes < RESUMES_MAX;
 }
 
 static gboolean
-may_go_elsewhere(const RecoveryFacts_t *facts)
+may_retry(const RecoveryInput_t *input)
 {
-    if (facts->end == ATTEMPT_REJECTED && !facts->was_resume) {
+    if (input->end == ATTEMPT_REJECTED && !input->was_resume) {
         return FALSE;
     }
-    return facts->repeatable || !facts->sent;
+    return input->repeatable || !input->sent;
 }
 
-RecoveryPlan_t
-Recovery_decide(const RecoveryFacts_t *facts)
+RecoveryDecision_t
+Recovery_decide(const RecoveryInput_t *input)
 {
-    if (facts->end == ATTEMPT_WHOLE) {
-        return (RecoveryPlan_t){.step = RECOVERY_DONE};
+    if (input->end == ATTEMPT_COMPLETE) {
+        return (RecoveryDecision_t){.action = RECOVERY_DONE};
     }
-    if (!facts->time_left || facts->attempts >= facts->max_attempts ||
-        !facts->budget) {
-        return give_up(facts);
+    if (!input->time_left || input->attempts >= input->max_attempts ||
+        !input->budget) {
+        return give_up(input);
     }
-    if (may_resume(facts)) {
-        return (RecoveryPlan_t){.step = RECOVERY_RESUME};
+    if (may_resume(input)) {
+        return (RecoveryDecision_t){.action = RECOVERY_RESUME};
     }
-    if (may_go_elsewhere(facts)) {
-        return (RecoveryPlan_t){.step = RECOVERY_ELSEWHERE};
+    if (may_retry(input)) {
+        return (RecoveryDecision_t){.action = RECOVERY_RETRY};
     }
-    return give_up(facts);
+    return give_up(input);
 }
--- a/src/Recovery.h
+++ b/src/Recovery.h
@@ -3,8 +3,9 @@
 /**
  * DOC: Recovery
  *
- * What to do after an attempt ended: a decision from facts alone, without
- * any effect. It is the one place where repeats are allowed.
+ * Decides what to do after an attempt ended. The decision depends on its input
+ * alone and has no side effects. No other module decides whether a request may
+ * be sent again.
  */
 #include <glib.h>
 
@@ -12,24 +13,25 @@
 
 /**
  * enum AttemptEnd_t - how an attempt ended
- * @ATTEMPT_WHOLE: the proper end mark came
+ * @ATTEMPT_COMPLETE: the answer came with its end mark
  * @ATTEMPT_NOT_SENT: nothing was written to the upstream
- * @ATTEMPT_NOT_RUN: the upstream says that it did not run
- * @ATTEMPT_REJECTED: the upstream says that the request is at fault
- * @ATTEMPT_FAILED: an error of the upstream; it may have run
+ * @ATTEMPT_NOT_RUN: the upstream answered that it did not run the request
+ * @ATTEMPT_REJECTED: the upstream answered that the request is invalid
+ * @ATTEMPT_FAILED: the upstream failed; it may have run the request
  * @ATTEMPT_CUT: the connection ended before the end mark
- * @ATTEMPT_SILENT: nothing came for too long
- * @ATTEMPT_MISMATCH: the answer was not to this attempt
- * @ATTEMPT_BAD_ANSWER: the answer does not follow the interface
- * @ATTEMPT_OVERSIZED: an event of the stream is larger than the setting
- * @ATTEMPT_TAKEN_BACK: this router took it from the queue of an upstream whose
- *     weights are overdue
- * @ATTEMPT_WITHDRAWN: nothing was written to the upstream, as it takes no new
- *     work any more
- * @ATTEMPT_MOVED: this router ended it to go on elsewhere
+ * @ATTEMPT_SILENT: no data came from the upstream within the timeout
+ * @ATTEMPT_MISMATCH: the answer belongs to another attempt
+ * @ATTEMPT_BAD_ANSWER: the answer violates the protocol
+ * @ATTEMPT_OVERSIZED: an event of the stream exceeds the configured size
+ * @ATTEMPT_TAKEN_BACK: this router removed the request from the queue of an
+ *     upstream whose weights are overdue
+ * @ATTEMPT_WITHDRAWN: nothing was written to the upstream because it had
+ *     stopped accepting new work
+ * @ATTEMPT_MOVED: this router ended the attempt to continue the request on
+ *     another upstream
  */
 typedef enum {
-    ATTEMPT_WHOLE,
+    ATTEMPT_COMPLETE,
     ATTEMPT_NOT_SENT,
     ATTEMPT_NOT_RUN,
     ATTEMPT_REJECTED,
@@ -45,20 +47,20 @@
 } AttemptEnd_t;
 
 /**
- * struct RecoveryFacts_t - what the decision rests on
+ * struct RecoveryInput_t - input of the decision
  * @end: how the attempt ended
- * @was_resume: the attempt asked for the rest of a known stream
- * @progressed: the attempt brought at least one token
- * @stream_known: an engine has the stream and can be asked for its rest
- * @resumes: resumes of this stream so far
- * @tokens: tokens that the caller has
- * @sent: any attempt so far was sent and not proved "not run"
- * @repeatable: running again does no harm
- * @attempts: so far
- * @max_attempts: most of them
- * @rest_only: the caller asked for the rest of a stream that another request
- *     began
- * @budget: the retry budget has something left
+ * @was_resume: the attempt requested the remainder of a known stream
+ * @progressed: the attempt delivered at least one token
+ * @stream_known: an engine has the stream and can send its remainder
+ * @resumes: number of resumes of this stream so far
+ * @tokens: number of tokens that the caller has received
+ * @sent: an attempt was sent and the upstream has not reported it as not run
+ * @repeatable: it does no harm to run the request again
+ * @attempts: number of attempts so far
+ * @max_attempts: limit of @attempts
+ * @resume_only: the caller requested the remainder of a stream that another
+ *     request began
+ * @budget: the retry budget allows another attempt
  * @time_left: the deadline has not passed
  */
 typedef struct {
@@ -72,47 +74,50 @@
     gboolean repeatable;
     guint attempts;
     guint max_attempts;
-    gboolean rest_only;
+    gboolean resume_only;
     gboolean budget;
     gboolean time_left;
-} RecoveryFacts_t;
+} RecoveryInput_t;
 
 /**
- * enum RecoveryStep_t - what to do
- * @RECOVERY_DONE: the answer is whole
- * @RECOVERY_RESUME: ask the same engine for the rest of the same stream
- * @RECOVERY_ELSEWHERE: place it again, with the text sent as its prefix
- * @RECOVERY_GIVE_UP: refuse, for the reason given
+ * enum RecoveryAction_t - what to do next
+ * @RECOVERY_DONE: nothing, as the answer is complete
+ * @RECOVERY_RESUME: request the remainder of the stream from the same engine
+ * @RECOVERY_RETRY: place the request again, with the text that the caller has
+ *     already received as its prefix
+ * @RECOVERY_GIVE_UP: refuse the request
  */
 typedef enum {
     RECOVERY_DONE,
     RECOVERY_RESUME,
-    RECOVERY_ELSEWHERE,
+    RECOVERY_RETRY,
     RECOVERY_GIVE_UP,
-} RecoveryStep_t;
+} RecoveryAction_t;
 
 /**
- * struct RecoveryPlan_t - the decision
- * @step: what to do
- * @refusal: the reason, where it gives up
- * @run: what is known of the request, where it gives up
+ * struct RecoveryDecision_t - the decision
+ * @action: what to do next
+ * @refusal: reason of the refusal, for RECOVERY_GIVE_UP
+ * @run: whether the request has run, for RECOVERY_GIVE_UP
  */
 typedef struct {
-    RecoveryStep_t step;
+    RecoveryAction_t action;
     Refusal_t refusal;
     RunState_t run;
-} RecoveryPlan_t;
+} RecoveryDecision_t;
 
-/** Recovery_decide() - decide from the facts */
-RecoveryPlan_t Recovery_decide(const RecoveryFacts_t *facts);
+/** Recovery_decide() - decide what to do after an attempt ended */
+RecoveryDecision_t Recovery_decide(const RecoveryInput_t *input);
 
-/** Recovery_stepName() - stable name of a step, for logs */
-const char *Recovery_stepName(RecoveryStep_t step);
+/** Recovery_actionName() - stable name of an action, for logs */
+const char *Recovery_actionName(RecoveryAction_t action);
 
-/** Recovery_isUnsent() - whether nothing was written to the upstream */
+/** Recovery_isUnsent() - whether an attempt that ended so wrote nothing to the
+ * upstream */
 gboolean Recovery_isUnsent(AttemptEnd_t end);
 
-/** Recovery_endName() - stable name of an end, for counters and traces */
+/** Recovery_endName() - stable name of an attempt's end, for counters and
+ * traces */
 const char *Recovery_endName(AttemptEnd_t end);
 
 #endif
--- a/src/RelayAttempt.c
+++ b/src/RelayAttempt.c
@@ -146,7 +146,7 @@
     }
     gboolean is_trusted = head->has_signature || head->status >= HTTP_MOVEPERM;
     return is_trusted && !evhttp_find_header(headers, "Content-Encoding")
-               ? ATTEMPT_WHOLE
+               ? ATTEMPT_COMPLETE
                : ATTEMPT_BAD_ANSWER;
 }
 
--- a/src/RelayExchange.c
+++ b/src/RelayExchange.c
@@ -105,7 +105,7 @@
 }
 
 static void
-add_recovery_input(const Exchange_t *super, RecoveryFacts_t *input)
+add_recovery_input(const Exchange_t *super, RecoveryInput_t *input)
 {
     const RelayExchange_t *this = (const RelayExchange_t *)super;
     input->tokens = forwarded_events(this);
--- a/src/RelayMove.c
+++ b/src/RelayMove.c
@@ -207,7 +207,7 @@
 {
     RelayExchange_t *exchange = this->exchange;
     replace_attempt(this);
-    RelayRun_endAdopted(exchange, ATTEMPT_WHOLE, head);
+    RelayRun_endAdopted(exchange, ATTEMPT_COMPLETE, head);
 }
 
 /* The move's attempt ended without an event. */
@@ -215,7 +215,7 @@
 on_ended(void *owner, AttemptEnd_t end, const RelayHead_t *head)
 {
     RelayMove_t *this = owner;
-    if (end == ATTEMPT_WHOLE && this->cause == &silence) {
+    if (end == ATTEMPT_COMPLETE && this->cause == &silence) {
         end_complete(this, head);
         return;
     }
--- a/src/RelayRun.c
+++ b/src/RelayRun.c
@@ -149,7 +149,7 @@
 adjust_end(const RelayExchange_t *this, AttemptEnd_t end)
 {
     gboolean fits = this->is_stream || !RelayAnswer_isHeadSent(this->answer);
-    return end == ATTEMPT_WHOLE && !fits ? ATTEMPT_BAD_ANSWER : end;
+    return end == ATTEMPT_COMPLETE && !fits ? ATTEMPT_BAD_ANSWER : end;
 }
 
 static void
@@ -161,11 +161,11 @@
     this->attempt = NULL;
     this->has_upstream_error = end == ATTEMPT_FAILED;
     record_end(this, end, head);
-    if (end != ATTEMPT_WHOLE && this->run_events->fail_over(this)) {
+    if (end != ATTEMPT_COMPLETE && this->run_events->fail_over(this)) {
         return;
     }
     this->run_events->ended(this);
-    if (end == ATTEMPT_WHOLE) {
+    if (end == ATTEMPT_COMPLETE) {
         finish(this);
         return;
     }
--- a/src/RouteSync.c
+++ b/src/RouteSync.c
@@ -138,7 +138,7 @@
         return;
     }
     if (RecordRelay_isOversized(this->records)) {
-        FreshnessRelay_tellNow(this->relay);
+        FreshnessRelay_broadcastNow(this->relay);
     }
     RecordRelay_broadcast(this->records, end, at_ms, 0, this->feeding);
 }
@@ -156,7 +156,7 @@
     }
     ListExchange_setCurrent(this->exchange, end, at_ms);
     RouteVersions_noteCurrent(this->versions, at_ms);
-    FreshnessRelay_note(this->relay, end, at_ms);
+    FreshnessRelay_noteEnd(this->relay, end, at_ms);
     pass_on(this, end, at_ms);
     set_reads(this);
     if (RouteVersions_isBehind(this->versions)) {
@@ -311,7 +311,7 @@
     }
     guint doublings =
         MIN(RecordFollower_failedChecks(this->follower), ASK_DOUBLINGS);
-    ask_store(this, ASK_EVERY_MS << doublings, STORE_UNTOLD);
+    ask_store(this, ASK_EVERY_MS << doublings, STORE_PEERS_SILENT);
     draw_turn(this);
 }
 
@@ -372,7 +372,7 @@
         RecordFollower_create(base, &follow, &follower_events, this);
     ListExchange_setFollower(this->exchange, this->follower);
     this->tick = Clock_timer(base, on_tick, this);
-    StoreEpoch_listen(spec->epoch, on_return, this);
+    StoreEpoch_addListener(spec->epoch, on_return, this);
     draw_turn(this);
     Clock_arm(this->tick, TICK_MS);
     return this;
@@ -388,7 +388,7 @@
 void
 RouteSync_destroy(RouteSync_t *this)
 {
-    StoreEpoch_leave(this->spec.epoch, this);
+    StoreEpoch_removeListener(this->spec.epoch, this);
     RecordFollower_destroy(this->follower);
     FreshnessRelay_destroy(this->relay);
     ListExchange_destroy(this->exchange);
@@ -411,13 +411,13 @@
     if (from && known.offset > 0 && RouteVersions_isBehind(this->versions)) {
         ask_peer(this, from, known);
     }
-    FreshnessRelay_take(this->relay, from, message);
+    FreshnessRelay_receive(this->relay, from, message);
 }
 
 void
 RouteSync_introduce(RouteSync_t *this, Member_t *member)
 {
-    FreshnessRelay_introduce(this->relay, member);
+    FreshnessRelay_syncPeer(this->relay, member);
 }
 
 static void
@@ -439,7 +439,7 @@
 void
 RouteSync_takePage(RouteSync_t *this, Member_t *from, const Wt__ListPage *page)
 {
-    if (FreshnessRelay_mayHaveWaited(this->relay)) {
+    if (FreshnessRelay_mayBeStale(this->relay)) {
         return; /* it is asked for again */
     }
     this->feeding = TRUE;
@@ -460,7 +460,7 @@
         return;
     }
     KeyedPage_t page = RecordRelay_decode(message);
-    gint64 at_ms = FreshnessRelay_mayHaveWaited(this->relay)
+    gint64 at_ms = FreshnessRelay_mayBeStale(this->relay)
                        ? 0
                        : PeerAge_atMs(message->age_ms);
     this->feeding = TRUE;
--- a/src/Router.c
+++ b/src/Router.c
@@ -97,7 +97,7 @@
         RelayParts_receive(this->relay, from, message);
     }
     else {
-        NativeParts_take(this->native, from, message);
+        NativeParts_receive(this->native, from, message);
     }
 }
 
@@ -309,7 +309,7 @@
     const RouterSection_t *settings = &this->settings->router;
     this->context.refusing = passed >= settings->stop_grace_ms;
     guint claims =
-        this->context.claims ? Claims_open(this->context.claims) : 0;
+        this->context.claims ? Claims_countPending(this->context.claims) : 0;
     gboolean empty =
         this->context.refusing && this->context.open_requests == 0 &&
         PendingReply_count() == 0 &&
--- a/src/Salt.c
+++ b/src/Salt.c
@@ -3,7 +3,8 @@
 #include <sodium.h>
 #include <string.h>
 
-/* The NUL goes into the hash, so that no two inputs run into each other. */
+/* Hashes the terminating NUL too, so that "ab" and "c" differ from "a" and
+ * "bc". */
 static void
 add_text(crypto_generichash_state *state, const char *text)
 {
--- a/src/Salt.h
+++ b/src/Salt.h
@@ -3,8 +3,8 @@
 /**
  * DOC: Salt
  *
- * The cache salt of a request: a keyed hash of everything that must not
- * share cached blocks. Two requests share blocks only if customer, model,
+ * The cache salt of a request, which is a keyed hash. Two requests share
+ * cached blocks only if their salts are equal, that is, if customer, model,
  * adapter and both versions of weights are the same.
  */
 #include <glib.h>
@@ -13,7 +13,7 @@
 #define SALT_LENGTH 32
 
 /**
- * struct SaltInput_t - what a salt is made of
+ * struct SaltInput_t - the texts that a salt depends on
  */
 typedef struct {
     const char *customer;
@@ -24,11 +24,11 @@
 } SaltInput_t;
 
 /**
- * Salt_make() - the salt of a request
+ * Salt_make() - compute the salt of a request
  * @key: 32 bytes that all routers share
- * @out: hex digits and a NUL
+ * @out: hex digits of the salt and a NUL
  *
- * Return: 64 bits of the salt, to seed prefix identities with
+ * Return: the first 64 bits of the salt, the seed of prefix identities
  */
 guint64 Salt_make(const SaltInput_t *input, GBytes *key,
                   char out[SALT_LENGTH + 1]);
--- a/src/ServiceExchange.c
+++ b/src/ServiceExchange.c
@@ -159,7 +159,7 @@
         return ATTEMPT_MISMATCH;
     }
     if (answer->status < HTTP_INTERNAL) {
-        return ATTEMPT_WHOLE;
+        return ATTEMPT_COMPLETE;
     }
     EngineRefusal_t refusal;
     EngineHttp_wire.read_refusal(answer->status, answer->body, answer->length,
@@ -182,7 +182,7 @@
         Exchange_noteNotice(&this->super, &notice);
     }
     Exchange_noteAttemptEnd(&this->super, end);
-    if (end == ATTEMPT_WHOLE) {
+    if (end == ATTEMPT_COMPLETE) {
         pass_on(this, answer);
         return;
     }
@@ -317,6 +317,6 @@
                                   on_caller_left, this);
     Exchange_begin(&this->super);
     RateRequest_t rate =
-        Caller_rate(spec->caller, this->super.customer->str, 0);
+        Caller_makeRateRequest(spec->caller, this->super.customer->str, 0);
     Exchange_admit(&this->super, &rate, spec->caller->key);
 }
--- a/src/StoreCalls.c
+++ b/src/StoreCalls.c
@@ -4,10 +4,10 @@
 
 static const char *const cause_names[] = {
     [STORE_START] = "start",     [STORE_FOLLOW] = "follow",
-    [STORE_BEHIND] = "behind",   [STORE_UNTOLD] = "untold",
+    [STORE_BEHIND] = "behind",   [STORE_PEERS_SILENT] = "untold",
     [STORE_RETRY] = "retry",     [STORE_MORE] = "more",
-    [STORE_TAKE] = "take",       [STORE_RENEW] = "renew",
-    [STORE_RELEASE] = "release", [STORE_KEEP] = "keep",
+    [STORE_ACQUIRE] = "take",    [STORE_RENEW] = "renew",
+    [STORE_RELEASE] = "release", [STORE_WRITE] = "keep",
 };
 
 void
--- a/src/StoreCalls.h
+++ b/src/StoreCalls.h
@@ -3,43 +3,43 @@
 /**
  * DOC: StoreCalls
  *
- * Why this router calls the platform's store, counted by topic and cause. A
- * store serves so many calls a second to all routers together, so that what
- * each of them does while nothing happens must not be a call.
+ * Counts this router's calls of the platform's store by topic and cause. All
+ * routers share the store's limited rate of calls, so an idle router must not
+ * call it.
  */
 #include "Counters.h"
 
 /**
  * enum StoreCause_t - why a call is made
- * @STORE_START: what is there at the start
- * @STORE_FOLLOW: for what is new; the one that reads for others, or nobody
- *     has told this router anything
- * @STORE_BEHIND: a peer knows more, and cannot tell it
- * @STORE_UNTOLD: peers have told nothing for long
- * @STORE_RETRY: the call before has failed
- * @STORE_MORE: the answer before had no room for all
- * @STORE_TAKE: to take a lease
- * @STORE_RENEW: to keep a lease
- * @STORE_RELEASE: to end a lease
- * @STORE_KEEP: to write what must last
+ * @STORE_START: reads the existing records at the start
+ * @STORE_FOLLOW: reads new records, as this router reads for the others or
+ *     has received no updates from them
+ * @STORE_BEHIND: reads records that a peer knows of but cannot send
+ * @STORE_PEERS_SILENT: reads because no peer has sent an update for long
+ * @STORE_RETRY: repeats a call that failed
+ * @STORE_MORE: reads on after an answer that did not contain all records
+ * @STORE_ACQUIRE: acquires a lease
+ * @STORE_RENEW: renews a lease
+ * @STORE_RELEASE: releases a lease
+ * @STORE_WRITE: writes a record that must be durable
  */
 typedef enum {
     STORE_START,
     STORE_FOLLOW,
     STORE_BEHIND,
-    STORE_UNTOLD,
+    STORE_PEERS_SILENT,
     STORE_RETRY,
     STORE_MORE,
-    STORE_TAKE,
+    STORE_ACQUIRE,
     STORE_RENEW,
     STORE_RELEASE,
-    STORE_KEEP,
+    STORE_WRITE,
 } StoreCause_t;
 
 /**
- * StoreCalls_note() - a call is about to be made
+ * StoreCalls_note() - count and log a call that is about to be made
  * @counters: NULL for none, as in module tests
- * @topic: that it is about
+ * @topic: topic that the call reads or writes
  */
 void StoreCalls_note(Counters_t *counters, const char *topic,
                      StoreCause_t cause);
--- a/src/StoreEpoch.c
+++ b/src/StoreEpoch.c
@@ -5,7 +5,7 @@
 #include "Log.h"
 
 typedef struct {
-    StoreEpochRose_t rose;
+    StoreEpochHandler_t handler;
     void *owner;
 } Listener_t;
 
@@ -13,8 +13,8 @@
     Counters_t *counters;
     GArray *listeners; /* Listener_t */
     guint64 newest;
-    gint64 since_ms;
-    gboolean known;
+    gint64 since_ms; /* when the newest epoch was first seen */
+    gboolean known;  /* newest is valid */
 };
 
 StoreEpoch_t *
@@ -34,14 +34,15 @@
 }
 
 void
-StoreEpoch_listen(StoreEpoch_t *this, StoreEpochRose_t rose, void *owner)
+StoreEpoch_addListener(StoreEpoch_t *this, StoreEpochHandler_t handler,
+                       void *owner)
 {
-    Listener_t listener = {rose, owner};
+    Listener_t listener = {handler, owner};
     g_array_append_val(this->listeners, listener);
 }
 
 void
-StoreEpoch_leave(StoreEpoch_t *this, const void *owner)
+StoreEpoch_removeListener(StoreEpoch_t *this, const void *owner)
 {
     for (guint i = 0; i < this->listeners->len; i++) {
         if (g_array_index(this->listeners, Listener_t, i).owner == owner) {
@@ -52,17 +53,17 @@
 }
 
 static void
-tell_listeners(const StoreEpoch_t *this)
+notify_listeners(const StoreEpoch_t *this)
 {
     for (guint i = 0; i < this->listeners->len; i++) {
         const Listener_t *listener =
             &g_array_index(this->listeners, Listener_t, i);
-        listener->rose(listener->owner);
+        listener->handler(listener->owner);
     }
 }
 
 static void
-log_return(guint64 before, guint64 now, const char *by)
+log_restored(guint64 before, guint64 now, const char *by)
 {
     Log_begin(LOG_LEVEL_WARNING, "store_came_back_older");
     Log_number("epoch", (gint64)now);
@@ -72,7 +73,7 @@
 }
 
 static void
-log_first(guint64 epoch, const char *by)
+log_first_epoch(guint64 epoch, const char *by)
 {
     Log_begin(LOG_LEVEL_INFO, "store_epoch");
     Log_number("epoch", (gint64)epoch);
@@ -81,15 +82,15 @@
 }
 
 static void
-note_return(StoreEpoch_t *this, guint64 epoch, const char *by)
+note_restored(StoreEpoch_t *this, guint64 epoch, const char *by)
 {
-    log_return(this->newest, epoch, by);
+    log_restored(this->newest, epoch, by);
     this->newest = epoch;
     this->since_ms = Clock_nowMs();
     if (this->counters) {
         Counters_add(this->counters, "store_returns_total", NULL, 1);
     }
-    tell_listeners(this);
+    notify_listeners(this);
 }
 
 gboolean
@@ -99,11 +100,11 @@
         this->known = TRUE;
         this->newest = epoch;
         this->since_ms = Clock_nowMs();
-        log_first(epoch, by);
+        log_first_epoch(epoch, by);
         return TRUE;
     }
     if (epoch > this->newest) {
-        note_return(this, epoch, by);
+        note_restored(this, epoch, by);
     }
     return epoch == this->newest;
 }
@@ -116,7 +117,7 @@
         return TRUE;
     }
     g_set_error_literal(error, WT_ERROR, WT_ERROR_OLD_EPOCH,
-                        "the store has come back older since");
+                        "the answer is of an earlier epoch of the store");
     return FALSE;
 }
 
--- a/src/StoreEpoch.h
+++ b/src/StoreEpoch.h
@@ -3,11 +3,11 @@
 /**
  * DOC: StoreEpoch
  *
- * Which copy of its records the platform's store serves. A store that was
- * away may come back from an older copy: what was written last is gone, and
- * its offsets are given out again. It then serves a new epoch, whose number
- * is larger and stands in each of its answers. One object is shared by all
- * clients of a store in this process.
+ * Tracks which copy of its records the platform's store serves. After an
+ * outage a store may come back older, restored from an earlier copy: the last
+ * records are lost and their offsets are assigned again. The store then serves
+ * a new epoch with a larger number, which each of its answers contains. All
+ * clients of a store in this process share one object.
  */
 #include "Counters.h"
 
@@ -15,8 +15,9 @@
 typedef struct StoreEpoch StoreEpoch_t;
 
 /**
- * StoreEpoch_create() - none is known yet
- * @counters: for returns; NULL for none, as in module tests
+ * StoreEpoch_create() - an object that knows no epoch yet
+ * @counters: for the number of times that the store came back older; NULL for
+ *     none, as in module tests
  */
 StoreEpoch_t *StoreEpoch_create(Counters_t *counters);
 
@@ -24,40 +25,43 @@
 void StoreEpoch_destroy(StoreEpoch_t *this);
 
 /**
- * StoreEpoch_note() - an epoch was told
- * @epoch: 0 from a store that tells none
- * @by: who told it, for the log
+ * StoreEpoch_note() - record an epoch that an answer or a message contains
+ * @epoch: 0 from a store that has no epochs
+ * @by: source of the epoch, for the log
  *
- * Return: FALSE where a newer one is known
+ * Return: FALSE if a newer epoch is known
  */
 gboolean StoreEpoch_note(StoreEpoch_t *this, guint64 epoch, const char *by);
 
 /**
- * StoreEpoch_check() - an answer of the store has come
- * @text: the number that it tells; NULL where it tells none
+ * StoreEpoch_check() - record and check the epoch of an answer of the store
+ * @text: the epoch's number; NULL if the answer contains none
  *
- * Return: FALSE, with WT_ERROR_OLD_EPOCH, for an answer that was on its way
- * while the store came back older: what it tells may be gone
+ * Return: FALSE, with WT_ERROR_OLD_EPOCH, for an answer of an earlier epoch,
+ * which was in transit while the store came back older: its records may be
+ * lost
  */
 gboolean StoreEpoch_check(StoreEpoch_t *this, const char *text,
                           GError **error);
 
 /**
- * StoreEpochRose_t - the store has come back older
+ * StoreEpochHandler_t - called each time the store has come back older
  */
-typedef void (*StoreEpochRose_t)(void *owner);
+typedef void (*StoreEpochHandler_t)(void *owner);
 
-/** StoreEpoch_listen() - tell an owner of each return */
-void StoreEpoch_listen(StoreEpoch_t *this, StoreEpochRose_t rose, void *owner);
+/** StoreEpoch_addListener() - notify @owner each time the store comes back
+ * older */
+void StoreEpoch_addListener(StoreEpoch_t *this, StoreEpochHandler_t handler,
+                            void *owner);
 
-/** StoreEpoch_leave() - tell it no more */
-void StoreEpoch_leave(StoreEpoch_t *this, const void *owner);
+/** StoreEpoch_removeListener() - stop notifying @owner */
+void StoreEpoch_removeListener(StoreEpoch_t *this, const void *owner);
 
-/** StoreEpoch_sinceMs() - when the newest was first told (monotonic); all
- * that older ones had granted was granted before */
+/** StoreEpoch_sinceMs() - monotonic time at which this process first saw the
+ * newest epoch; a store of an older epoch granted nothing after it */
 gint64 StoreEpoch_sinceMs(const StoreEpoch_t *this);
 
-/** StoreEpoch_newest() - 0 where none was told */
+/** StoreEpoch_newest() - the newest known epoch; 0 if none is known */
 guint64 StoreEpoch_newest(const StoreEpoch_t *this);
 
 #endif
--- a/src/StorePosition.h
+++ b/src/StorePosition.h
@@ -3,15 +3,16 @@
 /**
  * DOC: StorePosition
  *
- * A place in a topic of the platform's store. An offset alone does not name
- * a record: a store that came back older gives it out again, so that of two
- * records the one of the later epoch is newer, whatever their offsets.
+ * A position in a topic of the platform's store. An offset alone does not
+ * identify a record, because a store that came back older assigns offsets
+ * again. Of two records, the one of the later epoch is newer, whatever their
+ * offsets.
  */
 #include <glib.h>
 
 /**
- * struct StorePosition_t - a place
- * @epoch: of the store in which it was read (StoreEpoch.h)
+ * struct StorePosition_t - position of a record
+ * @epoch: epoch of the store when the record was read (StoreEpoch.h)
  * @offset: counted from the topic's start
  */
 typedef struct {
@@ -19,8 +20,7 @@
     guint64 offset;
 } StorePosition_t;
 
-/** StorePosition_compare() - below 0 where @a is older, 0 where they are the
- * same */
+/** StorePosition_compare() - negative if @a is older, 0 if they are equal */
 static inline gint
 StorePosition_compare(StorePosition_t a, StorePosition_t b)
 {
@@ -30,7 +30,7 @@
     return (a.offset > b.offset) - (a.offset < b.offset);
 }
 
-/** StorePosition_plus() - so many records further on */
+/** StorePosition_plus() - the position @count records after @at */
 static inline StorePosition_t
 StorePosition_plus(StorePosition_t at, guint64 count)
 {
--- a/src/StreamExchange.c
+++ b/src/StreamExchange.c
@@ -91,7 +91,7 @@
 }
 
 static void
-add_facts(const Exchange_t *super, RecoveryFacts_t *facts)
+add_facts(const Exchange_t *super, RecoveryInput_t *facts)
 {
     const StreamExchange_t *this = (const StreamExchange_t *)super;
     facts->was_resume = this->is_resume;
@@ -101,7 +101,7 @@
     facts->resumes = this->resumes;
     facts->tokens = this->tokens;
     facts->repeatable = super->repeatable && !this->point;
-    facts->rest_only = this->point != NULL;
+    facts->resume_only = this->point != NULL;
 }
 
 static void
@@ -268,7 +268,7 @@
     if (refusal && refusal->incarnation != 0) {
         Exchange_clearAvoided(super);
     }
-    if (end == ATTEMPT_WHOLE) {
+    if (end == ATTEMPT_COMPLETE) {
         finish(this);
         return;
     }
@@ -484,7 +484,8 @@
 {
     double tokens =
         (double)Prompt_tokens(this->prompt) + (double)this->prompt->max_tokens;
-    return Caller_rate(spec->caller, this->super.customer->str, tokens);
+    return Caller_makeRateRequest(spec->caller, this->super.customer->str,
+                                  tokens);
 }
 
 void
--- a/src/UpstreamListing.c
+++ b/src/UpstreamListing.c
@@ -751,7 +751,7 @@
     };
     this->follower =
         RecordFollower_create(base, &follow, &follower_events, this);
-    StoreEpoch_listen(spec->epoch, on_store_back, this);
+    StoreEpoch_addListener(spec->epoch, on_store_back, this);
     if (spec->membership) {
         create_exchange(this, base);
     }
@@ -769,7 +769,7 @@
 void
 UpstreamListing_destroy(UpstreamListing_t *this)
 {
-    StoreEpoch_leave(this->spec.epoch, this);
+    StoreEpoch_removeListener(this->spec.epoch, this);
     RecordFollower_destroy(this->follower);
     if (this->exchange) {
         ListExchange_destroy(this->exchange);
--- a/tests/FakeRates.c
+++ b/tests/FakeRates.c
@@ -553,7 +553,7 @@
     begin(play, spec);
     for (gint64 ms = 0; ms < (gint64)spec->seconds * 1000; ms++) {
         play->now_ms = START_MS + ms;
-        Clock_hold(play->now_ms * CLOCK_US_PER_MS);
+        Clock_freeze(play->now_ms * CLOCK_US_PER_MS);
         break_something(play);
         deliver(play);
         for (guint i = 0; i < spec->routers; i++) {
@@ -565,6 +565,6 @@
     FakeRatesResult_t result = play->result;
     end(play);
     g_free(play);
-    Clock_hold(0);
+    Clock_freeze(0);
     return result;
 }
--- a/tests/fuzz/peers.c
+++ b/tests/fuzz/peers.c
@@ -401,7 +401,7 @@
 stands(const ClaimIndex_t *index, guint key)
 {
     ClaimId_t id = id_of(key);
-    return ClaimIndex_stands(index, &id);
+    return ClaimIndex_hasClaim(index, &id);
 }
 
 static void
--- a/tests/test_ClaimIndex.c
+++ b/tests/test_ClaimIndex.c
@@ -9,9 +9,9 @@
 static ClaimId_t
 id(guint8 byte)
 {
-    ClaimId_t made;
-    memset(made.bytes, byte, sizeof(made.bytes));
-    return made;
+    ClaimId_t claim_id;
+    memset(claim_id.bytes, byte, sizeof(claim_id.bytes));
+    return claim_id;
 }
 
 static void
@@ -65,7 +65,7 @@
 }
 END_TEST
 
-START_TEST(released_key_may_be_claimed_anew)
+START_TEST(released_key_may_be_claimed_again)
 {
     claims = ClaimIndex_create();
     fold(WT__CLAIM_KIND__CLAIM, 1, 10, 0);
@@ -76,7 +76,7 @@
 }
 END_TEST
 
-START_TEST(denied_once_stays_denied)
+START_TEST(denied_attempt_stays_denied)
 {
     claims = ClaimIndex_create();
     fold(WT__CLAIM_KIND__CLAIM, 1, 10, 0);
@@ -90,7 +90,7 @@
 }
 END_TEST
 
-START_TEST(release_holds_for_a_claim_that_lands_later)
+START_TEST(release_voids_a_claim_that_is_appended_later)
 {
     claims = ClaimIndex_create();
     fold(WT__CLAIM_KIND__RELEASE, 1, 10, 0);
@@ -101,7 +101,7 @@
 }
 END_TEST
 
-START_TEST(release_of_another_attempt_frees_nothing)
+START_TEST(release_of_another_attempt_does_not_free_the_key)
 {
     claims = ClaimIndex_create();
     fold(WT__CLAIM_KIND__CLAIM, 1, 10, 0);
@@ -111,7 +111,7 @@
 }
 END_TEST
 
-START_TEST(what_ran_is_never_released)
+START_TEST(claim_that_ran_is_never_released)
 {
     claims = ClaimIndex_create();
     fold(WT__CLAIM_KIND__CLAIM, 1, 10, 0);
@@ -123,7 +123,7 @@
 }
 END_TEST
 
-START_TEST(old_claims_expire_and_young_ones_stay)
+START_TEST(old_claims_expire_and_recent_ones_stay)
 {
     claims = ClaimIndex_create();
     fold(WT__CLAIM_KIND__CLAIM, 1, 10, 100);
@@ -135,8 +135,8 @@
 }
 END_TEST
 
-/* In any order of records, an attempt that was granted once keeps its claim
- * until its own release, so that never two hold one key. */
+/* In random orders of records, at most one attempt is granted a key at a time,
+ * and a granted attempt keeps its claim until its own release. */
 START_TEST(random_orders_never_grant_a_key_twice)
 {
     GRand *random = g_rand_new_with_seed(7);
@@ -169,8 +169,9 @@
 
 TESTING_MAIN("ClaimIndex", first_claim_is_granted_and_others_denied,
              claim_appended_twice_is_one_claim,
-             released_key_may_be_claimed_anew, denied_once_stays_denied,
-             release_holds_for_a_claim_that_lands_later,
-             release_of_another_attempt_frees_nothing,
-             what_ran_is_never_released, old_claims_expire_and_young_ones_stay,
+             released_key_may_be_claimed_again, denied_attempt_stays_denied,
+             release_voids_a_claim_that_is_appended_later,
+             release_of_another_attempt_does_not_free_the_key,
+             claim_that_ran_is_never_released,
+             old_claims_expire_and_recent_ones_stay,
              random_orders_never_grant_a_key_twice)
--- a/tests/test_CrashEvidence.c
+++ b/tests/test_CrashEvidence.c
@@ -45,13 +45,13 @@
     evidence = CrashEvidence_create(base, tests_upstreams, &events, NULL);
     crashes = 0;
     last_proof = "";
-    Clock_hold(AT_MS * CLOCK_US_PER_MS);
+    Clock_freeze(AT_MS * CLOCK_US_PER_MS);
 }
 
 static void
 end(void)
 {
-    Clock_hold(0);
+    Clock_freeze(0);
     CrashEvidence_destroy(evidence);
     Upstream_unref(upstream);
     event_base_free(base);
@@ -83,7 +83,7 @@
 static void
 advance_to_ms(gint64 ms)
 {
-    Clock_hold((AT_MS + ms) * CLOCK_US_PER_MS);
+    Clock_freeze((AT_MS + ms) * CLOCK_US_PER_MS);
 }
 
 static gboolean
--- a/tests/test_FreshnessRelay.c
+++ b/tests/test_FreshnessRelay.c
@@ -5,22 +5,22 @@
 #include "FreshnessRelay.h"
 #include "PeerAge.h"
 
-/* More than links of a test, so that all are linked with all. */
+/* Above the number of routers of each test, so that they form a full mesh. */
 #define MESH 16
-/* Fewer than its routers, so that news are passed on. */
+/* Below the number of routers, so that they relay updates. */
 #define NO_MESH 1
-/* Three times as long as news may wait to be passed on. */
-#define TICKS_MS 600
-#define TICK_MS (TICKS_MS / 3)
-/* Far below that, also on a busy machine. */
-#define AT_ONCE_MS 60
-#define MANY_NEWS 12
-#define TICK_PARTS 4
-/* Longer than a busy loop takes for a turn. */
-#define STANDSTILL_MS 800
-/* For an age that is far from any other. */
+/* Three ticks of the relay. */
+#define THREE_TICKS_MS 600
+#define TICK_MS (THREE_TICKS_MS / 3)
+/* Far less than a tick, and yet enough on a busy machine. */
+#define RELAY_DELAY_MAX_MS 60
+#define UPDATE_COUNT 12
+#define UPDATES_PER_TICK 4
+/* Longer than an iteration of a busy event loop. */
+#define STALL_MS 800
+/* An age far above that of any other update. */
 #define OLD_MS 10000
-/* Of the configuration in force. */
+/* Version of the configuration in force. */
 #define VERSION 3
 
 static FakeRouters_t routers;
@@ -28,7 +28,7 @@
 static guint64 fresh_offset;
 static gint64 fresh_at_ms;
 static guint fresh_calls;
-static gboolean is_known; /* what on_fresh() says */
+static gboolean has_records; /* result of on_fresh() */
 
 static gboolean
 on_fresh(void *owner, Member_t *from, StorePosition_t end, gint64 at_ms)
@@ -38,7 +38,7 @@
     fresh_calls++;
     fresh_offset = end.offset;
     fresh_at_ms = at_ms;
-    return is_known;
+    return has_records;
 }
 
 static guint64
@@ -62,7 +62,7 @@
 begin(guint count, gint64 mesh)
 {
     fresh_calls = 0;
-    is_known = TRUE;
+    has_records = TRUE;
     FakeRouters_init(&routers, count, mesh);
     relay = create(0);
 }
@@ -75,39 +75,39 @@
 }
 
 static void
-take(guint64 offset, guint32 age_ms)
+receive_update(guint64 offset, guint32 age_ms)
 {
     Wt__ConfigCurrent message = WT__CONFIG_CURRENT__INIT;
     message.offset = offset;
     message.age_ms = age_ms;
-    FreshnessRelay_take(relay, NULL, &message);
+    FreshnessRelay_receive(relay, NULL, &message);
 }
 
 static void
-note(guint64 offset, gint64 at_ms)
+note_end(guint64 offset, gint64 at_ms)
 {
-    FreshnessRelay_note(relay, (StorePosition_t){.offset = offset}, at_ms);
+    FreshnessRelay_noteEnd(relay, (StorePosition_t){.offset = offset}, at_ms);
 }
 
 static guint
-told(guint which)
+count_received(guint which)
 {
     return FakeRouters_count(&routers, which,
                              WT__PEER_MESSAGE__BODY_CONFIG_CURRENT);
 }
 
 static gboolean
-second_was_told(const FakeRouters_t *this)
+second_has_received(const FakeRouters_t *this)
 {
     (void)this;
-    return told(1) > 0;
+    return count_received(1) > 0;
 }
 
-START_TEST(news_count_from_before_they_were_sent)
+START_TEST(update_age_includes_the_transit_time)
 {
     begin(1, MESH);
     gint64 before_ms = Clock_nowMs();
-    take(7, 300);
+    receive_update(7, 300);
     ck_assert_uint_eq(fresh_calls, 1);
     ck_assert_uint_eq(fresh_offset, 7);
     ck_assert_int_ge(fresh_at_ms, before_ms - 300 - PEER_TRANSIT_MAX_MS);
@@ -116,58 +116,56 @@
 }
 END_TEST
 
-/* Symptom: a router let in a key that had been revoked seconds before.
- * Sequence: it stands still; a key is revoked; it goes on and reads what its
- * peers sent before that.
- * Cause: the age that a message tells counts from when it is read.
- * Settled by: 200 to the revoked key from a router that was cut off from the
- * store, once it went on after more than config_max_age. */
-START_TEST(news_that_waited_while_it_stood_still_tell_nothing)
+/* A router that was cut off from the store accepted a revoked key after it had
+ * stalled for more than config_max_age. It read updates that its peers had
+ * sent before the revocation, and counted their age from the time of reading.
+ */
+START_TEST(updates_that_waited_during_a_stall_are_ignored)
 {
     begin(1, MESH);
-    FakeRouters_run(&routers, TICKS_MS);
-    g_usleep(STANDSTILL_MS * CLOCK_US_PER_MS);
-    take(7, 0);
+    FakeRouters_run(&routers, THREE_TICKS_MS);
+    g_usleep(STALL_MS * CLOCK_US_PER_MS);
+    receive_update(7, 0);
     ck_assert_uint_eq(fresh_calls, 0);
     event_base_loop(routers.base, EVLOOP_NONBLOCK);
-    take(7, 0);
+    receive_update(7, 0);
     ck_assert_uint_eq(fresh_calls, 0);
-    FakeRouters_run(&routers, TICKS_MS);
-    take(7, 0);
+    FakeRouters_run(&routers, THREE_TICKS_MS);
+    receive_update(7, 0);
     ck_assert_uint_eq(fresh_calls, 1);
     end();
 }
 END_TEST
 
-START_TEST(older_news_that_come_later_change_nothing)
+START_TEST(older_updates_that_arrive_later_change_nothing)
 {
     begin(1, MESH);
-    take(7, 0);
-    take(9, OLD_MS);
-    take(5, OLD_MS);
+    receive_update(7, 0);
+    receive_update(9, OLD_MS);
+    receive_update(5, OLD_MS);
     ck_assert_uint_eq(fresh_calls, 1);
     ck_assert_uint_eq(fresh_offset, 7);
     end();
 }
 END_TEST
 
-START_TEST(what_the_store_has_said_is_worth_more_than_older_news)
+START_TEST(older_update_does_not_replace_an_end_read_from_the_store)
 {
     begin(1, MESH);
-    note(8, Clock_nowMs());
-    take(7, 0);
+    note_end(8, Clock_nowMs());
+    receive_update(7, 0);
     ck_assert_uint_eq(fresh_calls, 0);
     end();
 }
 END_TEST
 
-START_TEST(an_answer_of_the_store_that_was_overtaken_is_not_told)
+START_TEST(overtaken_answer_of_the_store_is_not_broadcast)
 {
     begin(2, NO_MESH);
     gint64 now_ms = Clock_nowMs();
-    note(8, now_ms);
-    note(7, now_ms - 1);
-    FakeRouters_await(&routers, second_was_told);
+    note_end(8, now_ms);
+    note_end(7, now_ms - 1);
+    FakeRouters_await(&routers, second_has_received);
     const Wt__PeerMessage *message =
         FakeRouters_find(&routers, 1, WT__PEER_MESSAGE__BODY_CONFIG_CURRENT);
     ck_assert_uint_eq(message->config_current->offset, 8);
@@ -175,11 +173,11 @@
 }
 END_TEST
 
-START_TEST(an_age_only_grows_on_the_way)
+START_TEST(age_only_grows_when_an_update_is_relayed)
 {
     begin(2, NO_MESH);
-    take(7, 1000);
-    FakeRouters_await(&routers, second_was_told);
+    receive_update(7, 1000);
+    FakeRouters_await(&routers, second_has_received);
     const Wt__PeerMessage *message =
         FakeRouters_find(&routers, 1, WT__PEER_MESSAGE__BODY_CONFIG_CURRENT);
     ck_assert_uint_eq(message->config_current->offset, 7);
@@ -189,17 +187,17 @@
 }
 END_TEST
 
-START_TEST(a_router_that_is_linked_is_told_the_version_in_force)
+START_TEST(newly_connected_peer_receives_the_version_in_force)
 {
     begin(2, MESH);
     Member_t *member =
         g_ptr_array_index(Membership_members(routers.list[0].membership), 0);
-    FreshnessRelay_introduce(relay, member);
-    FakeRouters_run(&routers, TICKS_MS);
-    ck_assert_uint_eq(told(1), 0);
-    note(7, Clock_nowMs());
-    FreshnessRelay_introduce(relay, member);
-    FakeRouters_await(&routers, second_was_told);
+    FreshnessRelay_syncPeer(relay, member);
+    FakeRouters_run(&routers, THREE_TICKS_MS);
+    ck_assert_uint_eq(count_received(1), 0);
+    note_end(7, Clock_nowMs());
+    FreshnessRelay_syncPeer(relay, member);
+    FakeRouters_await(&routers, second_has_received);
     const Wt__PeerMessage *message =
         FakeRouters_find(&routers, 1, WT__PEER_MESSAGE__BODY_CONFIG_CURRENT);
     ck_assert_uint_eq(message->config_current->version, VERSION);
@@ -207,80 +205,79 @@
 }
 END_TEST
 
-START_TEST(the_same_knowledge_is_told_once)
+START_TEST(unchanged_end_is_broadcast_once)
 {
     begin(2, NO_MESH);
     gint64 at_ms = Clock_nowMs();
-    note(7, at_ms);
-    note(7, at_ms);
-    FakeRouters_run(&routers, TICKS_MS);
-    note(7, at_ms);
-    FakeRouters_run(&routers, TICKS_MS);
-    ck_assert_uint_eq(told(1), 1);
+    note_end(7, at_ms);
+    note_end(7, at_ms);
+    FakeRouters_run(&routers, THREE_TICKS_MS);
+    note_end(7, at_ms);
+    FakeRouters_run(&routers, THREE_TICKS_MS);
+    ck_assert_uint_eq(count_received(1), 1);
     end();
 }
 END_TEST
 
-/* Over the links of 1,000 routers news that waited at each of them was so old
- * that every router asked the store for itself. */
-START_TEST(news_does_not_wait_on_its_way)
+/* When updates waited for the tick at each router, they were so old after the
+ * links between 1,000 routers that every router asked the store itself. */
+START_TEST(update_is_relayed_without_waiting_for_the_tick)
 {
     begin(2, NO_MESH);
-    FakeRouters_run(&routers, TICKS_MS);
-    gint64 taken_ms = Clock_nowMs();
-    take(7, 0);
-    FakeRouters_await(&routers, second_was_told);
-    ck_assert_int_lt(Clock_nowMs() - taken_ms, AT_ONCE_MS);
+    FakeRouters_run(&routers, THREE_TICKS_MS);
+    gint64 received_ms = Clock_nowMs();
+    receive_update(7, 0);
+    FakeRouters_await(&routers, second_has_received);
+    ck_assert_int_lt(Clock_nowMs() - received_ms, RELAY_DELAY_MAX_MS);
     end();
 }
 END_TEST
 
-START_TEST(news_is_not_passed_on_more_often_than_it_may_be)
+START_TEST(updates_are_relayed_at_most_once_per_tick)
 {
     begin(2, NO_MESH);
-    FakeRouters_run(&routers, TICKS_MS);
+    FakeRouters_run(&routers, THREE_TICKS_MS);
     gint64 began_ms = Clock_nowMs();
-    for (guint i = 0; i < MANY_NEWS; i++) {
-        take(7, 0);
-        FakeRouters_run(&routers, TICK_MS / TICK_PARTS);
+    for (guint i = 0; i < UPDATE_COUNT; i++) {
+        receive_update(7, 0);
+        FakeRouters_run(&routers, TICK_MS / UPDATES_PER_TICK);
     }
     gint64 ticks = (Clock_nowMs() - began_ms) / TICK_MS;
-    ck_assert_uint_le(told(1), ticks + 1);
+    ck_assert_uint_le(count_received(1), ticks + 1);
     end();
 }
 END_TEST
 
-START_TEST(who_knows_nothing_tells_nothing)
+START_TEST(nothing_is_broadcast_before_an_end_is_known)
 {
     begin(2, NO_MESH);
-    FakeRouters_run(&routers, TICKS_MS);
-    ck_assert_uint_eq(told(1), 0);
+    FakeRouters_run(&routers, THREE_TICKS_MS);
+    ck_assert_uint_eq(count_received(1), 0);
     end();
 }
 END_TEST
 
-/* Symptom: a long configuration was in force a second later on routers that
- * are linked over others. Sequence: a router hears that there is a newer end,
- * passes it on, and is asked for the records, which it has not got yet. Cause:
- * an end was passed on by who did not know what is before it. Settled by a
- * sweep over 300 routers, 1,107 ms to the middle one. */
-START_TEST(an_end_that_is_not_known_here_is_not_passed_on)
+/* A long configuration came into force a second late on routers that are
+ * connected through others. A router relayed a newer end before it had the
+ * records before that end, so it could not answer when peers asked for them.
+ */
+START_TEST(end_whose_records_are_missing_here_is_not_relayed)
 {
     begin(2, NO_MESH);
-    is_known = FALSE;
-    take(7, 0);
-    FakeRouters_run(&routers, TICKS_MS);
+    has_records = FALSE;
+    receive_update(7, 0);
+    FakeRouters_run(&routers, THREE_TICKS_MS);
     ck_assert_uint_eq(fresh_calls, 1);
-    ck_assert_uint_eq(told(1), 0);
-    note(7, Clock_nowMs());
-    FakeRouters_run(&routers, TICKS_MS);
-    ck_assert_uint_eq(told(1), 1);
+    ck_assert_uint_eq(count_received(1), 0);
+    note_end(7, Clock_nowMs());
+    FakeRouters_run(&routers, THREE_TICKS_MS);
+    ck_assert_uint_eq(count_received(1), 1);
     end();
 }
 END_TEST
 
-/* A few are enough, of which one may be gone and one cut off. */
-START_TEST(three_routers_read_and_in_a_mesh_only_they_tell)
+/* Three readers suffice, even if one is down and another one is cut off. */
+START_TEST(three_routers_are_readers_and_in_a_mesh_only_they_broadcast)
 {
     begin(6, MESH);
     guint readers = 0;
@@ -288,27 +285,29 @@
         FreshnessRelay_destroy(relay);
         relay = create(i);
         guint other = i == 0 ? 1 : 0;
-        guint before = told(other);
-        note(7, Clock_nowMs());
-        FakeRouters_run(&routers, TICKS_MS);
+        guint before = count_received(other);
+        note_end(7, Clock_nowMs());
+        FakeRouters_run(&routers, THREE_TICKS_MS);
         gboolean reads = FreshnessRelay_isReader(relay);
         readers += reads ? 1 : 0;
-        ck_assert_uint_eq(told(other) - before, reads ? 1 : 0);
+        ck_assert_uint_eq(count_received(other) - before, reads ? 1 : 0);
     }
     ck_assert_uint_eq(readers, 3);
     end();
 }
 END_TEST
 
-TESTING_MAIN("FreshnessRelay", an_end_that_is_not_known_here_is_not_passed_on,
-             news_count_from_before_they_were_sent,
-             news_that_waited_while_it_stood_still_tell_nothing,
-             older_news_that_come_later_change_nothing,
-             what_the_store_has_said_is_worth_more_than_older_news,
-             an_answer_of_the_store_that_was_overtaken_is_not_told,
-             an_age_only_grows_on_the_way,
-             a_router_that_is_linked_is_told_the_version_in_force,
-             the_same_knowledge_is_told_once, news_does_not_wait_on_its_way,
-             news_is_not_passed_on_more_often_than_it_may_be,
-             who_knows_nothing_tells_nothing,
-             three_routers_read_and_in_a_mesh_only_they_tell)
+TESTING_MAIN("FreshnessRelay",
+             end_whose_records_are_missing_here_is_not_relayed,
+             update_age_includes_the_transit_time,
+             updates_that_waited_during_a_stall_are_ignored,
+             older_updates_that_arrive_later_change_nothing,
+             older_update_does_not_replace_an_end_read_from_the_store,
+             overtaken_answer_of_the_store_is_not_broadcast,
+             age_only_grows_when_an_update_is_relayed,
+             newly_connected_peer_receives_the_version_in_force,
+             unchanged_end_is_broadcast_once,
+             update_is_relayed_without_waiting_for_the_tick,
+             updates_are_relayed_at_most_once_per_tick,
+             nothing_is_broadcast_before_an_end_is_known,
+             three_routers_are_readers_and_in_a_mesh_only_they_broadcast)
--- a/tests/test_KeyedLog.c
+++ b/tests/test_KeyedLog.c
@@ -1,4 +1,3 @@
-/* Records with keys on a plain log. */
 #include "KeyedLog.h"
 
 #include <string.h>
@@ -6,22 +5,22 @@
 #include "Errors.h"
 #include "testing.h"
 
-/* What a read answers at the most. */
-#define READ_MOST 2
+/* Maximum number of records in the answer to a read. */
+#define READ_MAX 2
 
-/* A log in memory, of one stream, that answers at once. */
+/* A log of one stream in memory. It calls the callbacks synchronously. */
 typedef struct {
     LogClient_t super;
     GPtrArray *records; /* GBytes */
-    guint64 start;      /* older ones are gone */
+    guint64 start;      /* offset of the oldest retained record */
     guint64 epoch;
-    gboolean returns; /* it comes back older after the next read */
+    gboolean will_return; /* comes back older after the next read */
 } FakeLog_t;
 
 static FakeLog_t fake;
 static RecordSource_t *keyed;
-static GString *seen; /* "key=value " of each record of a page */
-static guint64 seen_end;
+static GString *page_text; /* "key=value " of each record of a page */
+static guint64 page_end;
 static int failures;
 
 static void
@@ -49,15 +48,15 @@
     done(&records, error, data);
 }
 
-/* All but the first record is lost, and others come in their place. */
+/* Loses all records but the first and appends others at their offsets. */
 static void
 come_back_older(void)
 {
     fake.epoch++;
     g_ptr_array_set_size(fake.records, 1);
-    for (guint i = 0; i <= READ_MOST; i++) {
+    for (guint i = 0; i <= READ_MAX; i++) {
         g_autoptr(GBytes) value = g_bytes_new("9", 1);
-        g_ptr_array_add(fake.records, KeyedRecord_join("z", value));
+        g_ptr_array_add(fake.records, KeyedRecord_encode("z", value));
     }
 }
 
@@ -78,13 +77,13 @@
                             .start = fake.start,
                             .head = fake.records->len,
                             .epoch = fake.epoch};
-    for (guint i = 0; i < READ_MOST && from + i < fake.records->len; i++) {
+    for (guint i = 0; i < READ_MAX && from + i < fake.records->len; i++) {
         GBytes *record = g_ptr_array_index(fake.records, from + i);
         g_ptr_array_add(records.records, g_bytes_ref(record));
     }
-    gboolean returns = fake.returns;
-    fake.returns = FALSE;
-    if (returns) {
+    gboolean will_return = fake.will_return;
+    fake.will_return = FALSE;
+    if (will_return) {
         come_back_older();
     }
     done(&records, NULL, data);
@@ -98,16 +97,16 @@
 {
     (void)data;
     failures += error ? 1 : 0;
-    g_string_truncate(seen, 0);
+    g_string_truncate(page_text, 0);
     for (guint i = 0; page && i < page->records->len; i++) {
         const KeyedRecord_t *record = g_ptr_array_index(page->records, i);
         gsize size = 0;
         const char *value =
             record->value ? g_bytes_get_data(record->value, &size) : "-";
-        g_string_append_printf(seen, "%s=%.*s ", record->key->str,
+        g_string_append_printf(page_text, "%s=%.*s ", record->key->str,
                                record->value ? (int)size : 1, value);
     }
-    seen_end = page ? page->end.offset : 0;
+    page_end = page ? page->end.offset : 0;
 }
 
 static void
@@ -130,7 +129,7 @@
     fake = (FakeLog_t){.super = {.class = &class},
                        .records = g_ptr_array_new_with_free_func(unref_bytes)};
     keyed = KeyedLog_create(&fake.super);
-    seen = g_string_new(NULL);
+    page_text = g_string_new(NULL);
     failures = 0;
 }
 
@@ -139,10 +138,10 @@
 {
     RecordSource_destroy(keyed);
     g_ptr_array_unref(fake.records);
-    g_string_free(seen, TRUE);
+    g_string_free(page_text, TRUE);
 }
 
-START_TEST(a_list_has_the_newest_of_each_key)
+START_TEST(list_has_the_newest_value_of_each_key)
 {
     begin();
     put("a", "1");
@@ -152,15 +151,15 @@
     put("c", "3");
     RecordSource_list(keyed, "t", NULL, on_page, NULL);
     ck_assert_int_eq(failures, 0);
-    ck_assert_ptr_nonnull(strstr(seen->str, "a=2 "));
-    ck_assert_ptr_nonnull(strstr(seen->str, "c=3 "));
-    ck_assert_ptr_null(strstr(seen->str, "b="));
-    ck_assert_uint_eq(seen_end, 5);
+    ck_assert_ptr_nonnull(strstr(page_text->str, "a=2 "));
+    ck_assert_ptr_nonnull(strstr(page_text->str, "c=3 "));
+    ck_assert_ptr_null(strstr(page_text->str, "b="));
+    ck_assert_uint_eq(page_end, 5);
     end();
 }
 END_TEST
 
-START_TEST(a_list_begins_where_the_log_does)
+START_TEST(list_starts_at_the_oldest_retained_record)
 {
     begin();
     put("a", "1");
@@ -169,21 +168,21 @@
     fake.start = 1;
     RecordSource_list(keyed, "t", NULL, on_page, NULL);
     ck_assert_int_eq(failures, 0);
-    ck_assert_ptr_null(strstr(seen->str, "a="));
-    ck_assert_ptr_nonnull(strstr(seen->str, "b=2 "));
-    ck_assert_ptr_nonnull(strstr(seen->str, "c=3 "));
+    ck_assert_ptr_null(strstr(page_text->str, "a="));
+    ck_assert_ptr_nonnull(strstr(page_text->str, "b=2 "));
+    ck_assert_ptr_nonnull(strstr(page_text->str, "c=3 "));
     end();
 }
 END_TEST
 
-START_TEST(a_read_tells_removals_as_well)
+START_TEST(read_includes_removals)
 {
     begin();
     put("a", "1");
     put("a", NULL);
     RecordSource_read(keyed, "t", 0, 0, on_page, NULL);
-    ck_assert_str_eq(seen->str, "a=1 a=- ");
-    ck_assert_uint_eq(seen_end, 2);
+    ck_assert_str_eq(page_text->str, "a=1 a=- ");
+    ck_assert_uint_eq(page_end, 2);
     fake.start = 1;
     RecordSource_read(keyed, "t", 0, 0, on_page, NULL);
     ck_assert_int_eq(failures, 1);
@@ -191,34 +190,34 @@
 }
 END_TEST
 
-START_TEST(an_empty_list_is_empty)
+START_TEST(list_of_an_empty_log_is_empty)
 {
     begin();
     RecordSource_list(keyed, "t", NULL, on_page, NULL);
-    ck_assert_str_eq(seen->str, "");
+    ck_assert_str_eq(page_text->str, "");
     ck_assert_int_eq(failures, 0);
     end();
 }
 END_TEST
 
-START_TEST(a_list_does_not_mix_what_was_there_before_a_return)
+START_TEST(list_does_not_mix_records_of_two_epochs)
 {
     begin();
-    for (guint i = 0; i <= READ_MOST; i++) {
+    for (guint i = 0; i <= READ_MAX; i++) {
         g_autofree char *key = g_strdup_printf("k%u", i);
         put(key, "1");
     }
-    fake.returns = TRUE;
+    fake.will_return = TRUE;
     RecordSource_list(keyed, "t", NULL, on_page, NULL);
     ck_assert_int_eq(failures, 0);
-    ck_assert_ptr_nonnull(strstr(seen->str, "k0=1 "));
-    ck_assert_ptr_nonnull(strstr(seen->str, "z=9 "));
-    ck_assert_ptr_null(strstr(seen->str, "k1="));
+    ck_assert_ptr_nonnull(strstr(page_text->str, "k0=1 "));
+    ck_assert_ptr_nonnull(strstr(page_text->str, "z=9 "));
+    ck_assert_ptr_null(strstr(page_text->str, "k1="));
     end();
 }
 END_TEST
 
-TESTING_MAIN("KeyedLog", a_list_does_not_mix_what_was_there_before_a_return,
-             a_list_has_the_newest_of_each_key,
-             a_list_begins_where_the_log_does, a_read_tells_removals_as_well,
-             an_empty_list_is_empty)
+TESTING_MAIN("KeyedLog", list_does_not_mix_records_of_two_epochs,
+             list_has_the_newest_value_of_each_key,
+             list_starts_at_the_oldest_retained_record, read_includes_removals,
+             list_of_an_empty_log_is_empty)
--- a/tests/test_RecordFollower.c
+++ b/tests/test_RecordFollower.c
@@ -343,7 +343,7 @@
 START_TEST(expired_offset_of_a_check_is_listed_again_at_once)
 {
     RecordFollower_t *follower = setup_pausing("a:3 b:4");
-    RecordFollower_checkEnd(follower, STORE_UNTOLD);
+    RecordFollower_checkEnd(follower, STORE_PEERS_SILENT);
     FakeSource_fail(&source, WT_ERROR_TRUNCATED);
     answer_call(90, FALSE, "b:4 c:80");
     ck_assert_str_eq(seen.reported->str, "a b c a- ");
@@ -357,9 +357,9 @@
 START_TEST(check_does_not_restart_a_list_in_progress)
 {
     RecordFollower_t *follower = setup_pausing("a:3");
-    RecordFollower_checkEnd(follower, STORE_UNTOLD);
+    RecordFollower_checkEnd(follower, STORE_PEERS_SILENT);
     FakeSource_fail(&source, WT_ERROR_TRUNCATED);
-    RecordFollower_checkEnd(follower, STORE_UNTOLD);
+    RecordFollower_checkEnd(follower, STORE_PEERS_SILENT);
     answer_call(90, TRUE, "c:80");
     answer_call(90, FALSE, "d:81");
     ck_assert_str_eq(seen.reported->str, "a c d a- ");
--- a/tests/test_StoreEpoch.c
+++ b/tests/test_StoreEpoch.c
@@ -20,22 +20,22 @@
 }
 
 static guint64
-returns(void)
+count_returns(void)
 {
     return Counters_value(counters, "store_returns_total", NULL);
 }
 
-START_TEST(the_first_epoch_is_no_return)
+START_TEST(first_epoch_is_not_counted_as_a_return)
 {
     begin();
     ck_assert(StoreEpoch_note(epoch, 3, "answer"));
     ck_assert_uint_eq(StoreEpoch_newest(epoch), 3);
-    ck_assert_uint_eq(returns(), 0);
+    ck_assert_uint_eq(count_returns(), 0);
     end();
 }
 END_TEST
 
-START_TEST(a_larger_one_is_a_return_and_the_one_before_is_old)
+START_TEST(larger_epoch_is_a_return_and_the_earlier_epoch_is_rejected)
 {
     begin();
     ck_assert(StoreEpoch_note(epoch, 3, "answer"));
@@ -43,23 +43,23 @@
     ck_assert(!StoreEpoch_note(epoch, 3, "answer"));
     ck_assert(StoreEpoch_note(epoch, 4, "answer"));
     ck_assert_uint_eq(StoreEpoch_newest(epoch), 4);
-    ck_assert_uint_eq(returns(), 1);
+    ck_assert_uint_eq(count_returns(), 1);
     end();
 }
 END_TEST
 
-START_TEST(a_store_that_tells_none_has_one)
+START_TEST(store_without_epochs_is_accepted_as_epoch_zero)
 {
     begin();
     ck_assert(StoreEpoch_note(epoch, 0, "answer"));
     ck_assert(StoreEpoch_note(epoch, 0, "answer"));
-    ck_assert_uint_eq(returns(), 0);
+    ck_assert_uint_eq(count_returns(), 0);
     ck_assert(StoreEpoch_note(epoch, 1, "answer"));
-    ck_assert_uint_eq(returns(), 1);
+    ck_assert_uint_eq(count_returns(), 1);
     end();
 }
 END_TEST
 
-TESTING_MAIN("StoreEpoch", the_first_epoch_is_no_return,
-             a_larger_one_is_a_return_and_the_one_before_is_old,
-             a_store_that_tells_none_has_one)
+TESTING_MAIN("StoreEpoch", first_epoch_is_not_counted_as_a_return,
+             larger_epoch_is_a_return_and_the_earlier_epoch_is_rejected,
+             store_without_epochs_is_accepted_as_epoch_zero)
--- a/tests/test_Tickets.c
+++ b/tests/test_Tickets.c
@@ -102,20 +102,20 @@
 }
 END_TEST
 
-/* Clock_hold() sets the time. */
+/* Clock_freeze() sets the time. */
 START_TEST(run_time_is_learned_from_requests_that_ended)
 {
     setup();
-    Clock_hold(NOW_MS * CLOCK_US_PER_MS);
+    Clock_freeze(NOW_MS * CLOCK_US_PER_MS);
     add_ticket(1);
     add_ticket(2);
     Tickets_noteFirstToken(tickets, 1, policy, 0, NOW_MS);
-    Clock_hold((NOW_MS + 700) * CLOCK_US_PER_MS);
+    Clock_freeze((NOW_MS + 700) * CLOCK_US_PER_MS);
     Tickets_end(tickets, 2);
     ck_assert(upstream->run_us == 0);
     Tickets_end(tickets, 1);
     ck_assert(upstream->run_us == 700 * CLOCK_US_PER_MS);
-    Clock_hold(0);
+    Clock_freeze(0);
     teardown();
 }
 END_TEST
