--- a/bench/LoadStream.c
+++ b/bench/LoadStream.c
@@ -114,7 +114,7 @@
 count_reason(Results_t *results, const GString *refusal)
 {
     json_t *body = Json_parse(refusal->str, refusal->len, NULL);
-    const char *code = Json_text(json_object_get(body, "error"), "code");
+    const char *code = Json_getString(json_object_get(body, "error"), "code");
     gpointer count = g_hash_table_lookup(results->reasons, code ? code : "-");
     g_hash_table_replace(results->reasons, g_strdup(code ? code : "-"),
                          GUINT_TO_POINTER(GPOINTER_TO_UINT(count) + 1));
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -245,14 +245,14 @@
 {
     Traces_t *traces = Traces_create();
     size_t before = memory();
-    for (guint i = 0; i < TRACES_KEPT; i++) {
+    for (guint i = 0; i < TRACES_MAX; i++) {
         Trace_t *trace =
             Trace_create("0123456789abcdef0123456789abcdef", "customer", "m");
         Trace_addAttempt(trace, "engine-1", "holder");
-        Traces_keep(traces, trace);
+        Traces_add(traces, trace);
     }
     report("the trace of an ended request",
-           (double)(memory() - before) / TRACES_KEPT, "bytes");
+           (double)(memory() - before) / TRACES_MAX, "bytes");
     Traces_destroy(traces);
 }
 
--- a/src/ClientCommands.c
+++ b/src/ClientCommands.c
@@ -10,21 +10,21 @@
 #include "Problem.h"
 #include "operator.pb-c.h"
 
-/* Changes of one command; each command is one record of the log. */
-#define CHANGES_AT_ONCE 64
-#define POLL_US 100000UL
+/* A command is stored as one log record, so larger plans are split. */
+#define CHANGES_PER_COMMAND 64
+#define POLL_INTERVAL_US 100000UL
 #define WAIT_MAX_MS 60000
 #define COMMAND_ID_BYTES 64
 
 static OperatorClient_t *
-client_of(const ClientOptions_t *options)
+create_client(const ClientOptions_t *options)
 {
     return OperatorClient_create(options->routers, options->key,
                                  options->timeout_ms);
 }
 
 static ExitCode_t
-report_error(const GError *error)
+report_call_error(const GError *error)
 {
     fprintf(stderr, "wheattiller: %s\n", error->message);
     return EXIT_UNREACHABLE;
@@ -41,7 +41,7 @@
 }
 
 static ExitCode_t
-exit_of(const Wt__Error *error)
+report_response_error(const Wt__Error *error)
 {
     if (!error || error->code == WT__ERROR_CODE__ERROR_NONE) {
         return EXIT_OK;
@@ -60,28 +60,30 @@
     }
 }
 
-/* Every response has its error as field 1. */
+/* In every response message of operator.proto, field 1 is the error. */
 static const Wt__Error *
-error_of(const ProtobufCMessage *message)
+response_error(const ProtobufCMessage *message)
 {
     const ProtobufCFieldDescriptor *field =
         protobuf_c_message_descriptor_get_field(message->descriptor, 1);
     return *(Wt__Error *const *)((const char *)message + field->offset);
 }
 
-/* One call whose answer is shown as it is. */
+/* Calls one method and prints its response without further processing.
+ * @router: index of the router, or -1 for the first that is reachable */
 static ExitCode_t
-ask(OperatorClient_t *client, gint router, const ClientOptions_t *options,
-    const char *method, const ProtobufCMessage *request,
-    const ProtobufCMessageDescriptor *response)
+call_and_print(OperatorClient_t *client, gint router,
+               const ClientOptions_t *options, const char *method,
+               const ProtobufCMessage *request,
+               const ProtobufCMessageDescriptor *response)
 {
     g_autoptr(GError) error = NULL;
     ProtobufCMessage *answer =
         OperatorClient_call(client, router, method, request, response, &error);
     if (!answer) {
-        return report_error(error);
+        return report_call_error(error);
     }
-    ExitCode_t code = exit_of(error_of(answer));
+    ExitCode_t code = report_response_error(response_error(answer));
     if (code == EXIT_OK) {
         Output_print(answer, options->output);
     }
@@ -90,12 +92,13 @@
 }
 
 static ExitCode_t
-ask_once(const ClientOptions_t *options, const char *method,
-         const ProtobufCMessage *request,
-         const ProtobufCMessageDescriptor *response)
+call_any_router(const ClientOptions_t *options, const char *method,
+                const ProtobufCMessage *request,
+                const ProtobufCMessageDescriptor *response)
 {
-    OperatorClient_t *client = client_of(options);
-    ExitCode_t code = ask(client, -1, options, method, request, response);
+    OperatorClient_t *client = create_client(options);
+    ExitCode_t code =
+        call_and_print(client, -1, options, method, request, response);
     OperatorClient_destroy(client);
     return code;
 }
@@ -104,51 +107,53 @@
 ClientCommands_get(const ClientOptions_t *options)
 {
     Wt__GetRequest request = WT__GET_REQUEST__INIT;
-    char **words = options->words;
-    request.kind = words[0] ? words[0] : (char *)"";
-    request.name = words[0] && words[1] ? words[1] : (char *)"";
-    return ask_once(options, "OperatorQuery/Get", &request.base,
-                    &wt__get_response__descriptor);
+    char **args = options->args;
+    request.kind = args[0] ? args[0] : (char *)"";
+    request.name = args[0] && args[1] ? args[1] : (char *)"";
+    return call_any_router(options, "OperatorQuery/Get", &request.base,
+                           &wt__get_response__descriptor);
 }
 
 ExitCode_t
 ClientCommands_status(const ClientOptions_t *options)
 {
     Wt__StatusRequest request = WT__STATUS_REQUEST__INIT;
-    OperatorClient_t *client = client_of(options);
-    ExitCode_t worst = EXIT_OK;
-    for (guint i = 0; i < OperatorClient_routers(client); i++) {
-        ExitCode_t code = ask(client, (gint)i, options, "OperatorQuery/Status",
-                              &request.base, &wt__status_response__descriptor);
-        worst = MAX(worst, code);
+    OperatorClient_t *client = create_client(options);
+    ExitCode_t worst_code = EXIT_OK;
+    for (guint i = 0; i < OperatorClient_countRouters(client); i++) {
+        ExitCode_t code =
+            call_and_print(client, (gint)i, options, "OperatorQuery/Status",
+                           &request.base, &wt__status_response__descriptor);
+        worst_code = MAX(worst_code, code);
     }
     OperatorClient_destroy(client);
-    return worst;
+    return worst_code;
 }
 
 ExitCode_t
 ClientCommands_counters(const ClientOptions_t *options)
 {
     Wt__CountersRequest request = WT__COUNTERS_REQUEST__INIT;
-    request.prefix = options->words[0] ? options->words[0] : (char *)"";
-    return ask_once(options, "OperatorQuery/Counters", &request.base,
-                    &wt__counters_response__descriptor);
+    request.prefix = options->args[0] ? options->args[0] : (char *)"";
+    return call_any_router(options, "OperatorQuery/Counters", &request.base,
+                           &wt__counters_response__descriptor);
 }
 
 ExitCode_t
 ClientCommands_explain(const ClientOptions_t *options)
 {
     Wt__ExplainRequest request = WT__EXPLAIN_REQUEST__INIT;
-    if (!options->words[0]) {
+    if (!options->args[0]) {
         fputs("wheattiller: explain needs the id of a request\n", stderr);
         return EXIT_USAGE;
     }
-    request.request_id = options->words[0];
-    OperatorClient_t *client = client_of(options);
+    request.request_id = options->args[0];
+    OperatorClient_t *client = create_client(options);
     ExitCode_t code = EXIT_INVALID;
-    for (guint i = 0; i < OperatorClient_routers(client); i++) {
-        code = ask(client, (gint)i, options, "OperatorQuery/Explain",
-                   &request.base, &wt__explain_response__descriptor);
+    for (guint i = 0; i < OperatorClient_countRouters(client); i++) {
+        code =
+            call_and_print(client, (gint)i, options, "OperatorQuery/Explain",
+                           &request.base, &wt__explain_response__descriptor);
         if (code == EXIT_OK) {
             break;
         }
@@ -161,25 +166,25 @@
 ClientCommands_crashes(const ClientOptions_t *options)
 {
     Wt__CrashesRequest request = WT__CRASHES_REQUEST__INIT;
-    return ask_once(options, "OperatorQuery/Crashes", &request.base,
-                    &wt__crashes_response__descriptor);
+    return call_any_router(options, "OperatorQuery/Crashes", &request.base,
+                           &wt__crashes_response__descriptor);
 }
 
 ExitCode_t
 ClientCommands_release(const ClientOptions_t *options)
 {
     Wt__ReleaseRequest request = WT__RELEASE_REQUEST__INIT;
-    if (!options->words[0]) {
+    if (!options->args[0]) {
         fputs("wheattiller: release needs the digest of a request\n", stderr);
         return EXIT_USAGE;
     }
-    request.digest = options->words[0];
-    return ask_once(options, "OperatorCommand/Release", &request.base,
-                    &wt__release_response__descriptor);
+    request.digest = options->args[0];
+    return call_any_router(options, "OperatorCommand/Release", &request.base,
+                           &wt__release_response__descriptor);
 }
 
 static Wt__ApplyResponse *
-ask_result(OperatorClient_t *client, ProtobufCBinaryData id, GError **error)
+query_result(OperatorClient_t *client, ProtobufCBinaryData id, GError **error)
 {
     Wt__CommandResultRequest request = WT__COMMAND_RESULT_REQUEST__INIT;
     request.command_id = id;
@@ -191,7 +196,7 @@
 ExitCode_t
 ClientCommands_result(const ClientOptions_t *options)
 {
-    const char *hex = options->words[0];
+    const char *hex = options->args[0];
     size_t digits = hex ? strlen(hex) : 0;
     guint8 id[COMMAND_ID_BYTES] = {0};
     if (digits == 0 || digits % 2 != 0 || digits / 2 > sizeof(id)) {
@@ -204,15 +209,15 @@
     }
     Wt__CommandResultRequest request = WT__COMMAND_RESULT_REQUEST__INIT;
     request.command_id = (ProtobufCBinaryData){digits / 2, id};
-    return ask_once(options, "OperatorQuery/CommandResult", &request.base,
-                    &wt__apply_response__descriptor);
+    return call_any_router(options, "OperatorQuery/CommandResult",
+                           &request.base, &wt__apply_response__descriptor);
 }
 
 static GPtrArray *
 load_files(const ClientOptions_t *options)
 {
     g_autoptr(GPtrArray) problems = Problems_create();
-    GPtrArray *declared = Declarations_load(options->words, problems);
+    GPtrArray *declared = Declarations_load(options->args, problems);
     for (guint i = 0; i < problems->len; i++) {
         GString *text = Problem_format(g_ptr_array_index(problems, i));
         fprintf(stderr, "%s\n", text->str);
@@ -225,8 +230,8 @@
 }
 
 static GPtrArray *
-make_plan(OperatorClient_t *client, const ClientOptions_t *options,
-          const GPtrArray *declared, ExitCode_t *code)
+create_plan(OperatorClient_t *client, const ClientOptions_t *options,
+            const GPtrArray *declared, ExitCode_t *code)
 {
     g_autoptr(GError) error = NULL;
     Wt__GetRequest request = WT__GET_REQUEST__INIT;
@@ -234,10 +239,10 @@
         client, -1, "OperatorQuery/Get", &request.base,
         &wt__get_response__descriptor, &error);
     if (!answer) {
-        *code = report_error(error);
+        *code = report_call_error(error);
         return NULL;
     }
-    *code = exit_of(answer->error);
+    *code = report_response_error(answer->error);
     GPtrArray *steps = NULL;
     if (*code == EXIT_OK) {
         steps = Plan_create(declared, answer, options->prune);
@@ -257,18 +262,18 @@
     putchar('\n');
 }
 
-/* Until the outcome is known or too much time has passed. */
+/* Polls while the outcome is unknown, for at most WAIT_MAX_MS. */
 static Wt__ApplyResponse *
-settle(OperatorClient_t *client, Wt__ApplyResponse *answer,
-       ProtobufCBinaryData id)
+await_outcome(OperatorClient_t *client, Wt__ApplyResponse *answer,
+              ProtobufCBinaryData id)
 {
-    gint64 until = Clock_nowMs() + WAIT_MAX_MS;
+    gint64 deadline_ms = Clock_nowMs() + WAIT_MAX_MS;
     while (answer && answer->error &&
            answer->error->code == WT__ERROR_CODE__ERROR_OUTCOME_UNKNOWN &&
-           Clock_nowMs() < until) {
+           Clock_nowMs() < deadline_ms) {
         wt__apply_response__free_unpacked(answer, NULL);
-        g_usleep(POLL_US);
-        answer = ask_result(client, id, NULL);
+        g_usleep(POLL_INTERVAL_US);
+        answer = query_result(client, id, NULL);
     }
     return answer;
 }
@@ -284,16 +289,17 @@
 }
 
 static ExitCode_t
-apply_part(OperatorClient_t *client, const GPtrArray *steps, guint first,
-           guint count, guint64 *revision)
+apply_batch(OperatorClient_t *client, const GPtrArray *steps, guint first,
+            guint count, guint64 *revision)
 {
     g_autoptr(GError) error = NULL;
     Wt__ApplyRequest *request = Plan_request(steps, first, count);
     Wt__ApplyResponse *answer = (Wt__ApplyResponse *)OperatorClient_call(
         client, -1, "OperatorCommand/Apply", &request->base,
         &wt__apply_response__descriptor, &error);
-    answer = settle(client, answer, request->command_id);
-    ExitCode_t code = answer ? exit_of(answer->error) : report_error(error);
+    answer = await_outcome(client, answer, request->command_id);
+    ExitCode_t code = answer ? report_response_error(answer->error)
+                             : report_call_error(error);
     if (code == EXIT_UNKNOWN || !answer) {
         print_command_id(request->command_id);
     }
@@ -328,18 +334,18 @@
 static ExitCode_t
 wait_in_force(OperatorClient_t *client, guint64 revision)
 {
-    gint64 until = Clock_nowMs() + WAIT_MAX_MS;
+    gint64 deadline_ms = Clock_nowMs() + WAIT_MAX_MS;
     guint router = 0;
-    while (router < OperatorClient_routers(client)) {
+    while (router < OperatorClient_countRouters(client)) {
         if (is_in_force(client, router, revision)) {
             router++;
             continue;
         }
-        if (Clock_nowMs() >= until) {
+        if (Clock_nowMs() >= deadline_ms) {
             fputs("wheattiller: not yet in force on every router\n", stderr);
             return EXIT_UNKNOWN;
         }
-        g_usleep(POLL_US);
+        g_usleep(POLL_INTERVAL_US);
     }
     return EXIT_OK;
 }
@@ -351,9 +357,9 @@
     guint64 revision = 0;
     ExitCode_t code = EXIT_OK;
     for (guint i = 0; i < steps->len && code == EXIT_OK;
-         i += CHANGES_AT_ONCE) {
-        guint count = MIN(CHANGES_AT_ONCE, steps->len - i);
-        code = apply_part(client, steps, i, count, &revision);
+         i += CHANGES_PER_COMMAND) {
+        guint count = MIN(CHANGES_PER_COMMAND, steps->len - i);
+        code = apply_batch(client, steps, i, count, &revision);
     }
     if (code == EXIT_OK && options->wait) {
         code = wait_in_force(client, revision);
@@ -362,9 +368,9 @@
 }
 
 static ExitCode_t
-plan_and(const ClientOptions_t *options, gboolean apply)
+plan_or_apply(const ClientOptions_t *options, gboolean apply)
 {
-    if (!options->words[0]) {
+    if (!options->args[0]) {
         fputs("wheattiller: name files or directories\n", stderr);
         return EXIT_USAGE;
     }
@@ -372,9 +378,9 @@
     if (!declared) {
         return EXIT_INVALID;
     }
-    OperatorClient_t *client = client_of(options);
+    OperatorClient_t *client = create_client(options);
     ExitCode_t code = EXIT_OK;
-    GPtrArray *steps = make_plan(client, options, declared, &code);
+    GPtrArray *steps = create_plan(client, options, declared, &code);
     for (guint i = 0; steps && !apply && i < steps->len; i++) {
         print_step(g_ptr_array_index(steps, i), 0);
     }
@@ -393,11 +399,11 @@
 ExitCode_t
 ClientCommands_plan(const ClientOptions_t *options)
 {
-    return plan_and(options, FALSE);
+    return plan_or_apply(options, FALSE);
 }
 
 ExitCode_t
 ClientCommands_apply(const ClientOptions_t *options)
 {
-    return plan_and(options, TRUE);
+    return plan_or_apply(options, TRUE);
 }
--- a/src/ClientCommands.h
+++ b/src/ClientCommands.h
@@ -3,7 +3,7 @@
 /**
  * DOC: ClientCommands
  *
- * The commands that ask or change something through the routers' RPCs.
+ * Commands that query or change routers through their operator RPCs.
  */
 #include <glib.h>
 
@@ -11,14 +11,14 @@
 #include "Output.h"
 
 /**
- * struct ClientOptions_t - what the command line said
- * @routers: Address_t of operators' interfaces
- * @key: the operators' key
- * @output: form of the answers
- * @timeout_ms: for one call
- * @wait: apply: until every router named has it in force
- * @prune: plan, apply: remove what the files do not declare
- * @words: further arguments, ended by NULL
+ * struct ClientOptions_t - parsed options of the client commands
+ * @routers: Address_t of the routers' operator interfaces
+ * @key: the operator key
+ * @output: output format of responses
+ * @timeout_ms: limit of one RPC
+ * @wait: apply: wait until the changes are in force on every listed router
+ * @prune: plan, apply: remove objects that the files do not declare
+ * @args: positional arguments of the command, terminated by NULL
  */
 typedef struct {
     GArray *routers;
@@ -27,35 +27,35 @@
     gint64 timeout_ms;
     gboolean wait;
     gboolean prune;
-    char **words;
+    char **args;
 } ClientOptions_t;
 
-/** ClientCommands_plan() - show what apply would do */
+/** ClientCommands_plan() - print the changes that apply would make */
 ExitCode_t ClientCommands_plan(const ClientOptions_t *options);
 
-/** ClientCommands_apply() - make the files' declarations be in force */
+/** ClientCommands_apply() - put the files' declarations in force */
 ExitCode_t ClientCommands_apply(const ClientOptions_t *options);
 
-/** ClientCommands_result() - what became of a command, by its id in hex */
+/** ClientCommands_result() - print the outcome of a command, by its hex id */
 ExitCode_t ClientCommands_result(const ClientOptions_t *options);
 
-/** ClientCommands_get() - declarations in force, of a kind, of a name */
+/** ClientCommands_get() - print declarations in force, by kind and name */
 ExitCode_t ClientCommands_get(const ClientOptions_t *options);
 
-/** ClientCommands_status() - each router named, and upstreams as it sees them
- */
+/** ClientCommands_status() - print the status of each listed router and its
+ * view of the upstreams */
 ExitCode_t ClientCommands_status(const ClientOptions_t *options);
 
-/** ClientCommands_counters() - counters with a prefix */
+/** ClientCommands_counters() - print counters with a given prefix */
 ExitCode_t ClientCommands_counters(const ClientOptions_t *options);
 
-/** ClientCommands_explain() - why a request went where it did */
+/** ClientCommands_explain() - print the routing decisions for a request */
 ExitCode_t ClientCommands_explain(const ClientOptions_t *options);
 
-/** ClientCommands_crashes() - requests under which upstreams have ended */
+/** ClientCommands_crashes() - print requests during which upstreams crashed */
 ExitCode_t ClientCommands_crashes(const ClientOptions_t *options);
 
-/** ClientCommands_release() - let one of them be sent again, by its digest */
+/** ClientCommands_release() - lift the quarantine of a request, by digest */
 ExitCode_t ClientCommands_release(const ClientOptions_t *options);
 
 #endif
--- a/src/CommandLine.c
+++ b/src/CommandLine.c
@@ -10,7 +10,7 @@
 #include "IniFile.h"
 #include "Log.h"
 #include "LogReport.h"
-#include "LogStory.h"
+#include "LogTimeline.h"
 #include "Problem.h"
 #include "Router.h"
 #include "Settings.h"
@@ -35,7 +35,7 @@
     char *settings;
     gboolean verbose;
     ClientOptions_t client;
-    GPtrArray *words;
+    GPtrArray *args;
 } Arguments_t;
 
 typedef struct {
@@ -53,39 +53,39 @@
     "  router --settings FILE   run a router\n"
     "  check FILE...            check settings and declarations offline\n"
     "  plan FILE...             show what apply would change\n"
-    "  apply FILE...            make declarations be in force\n"
-    "  result COMMAND-ID        what became of a command\n"
-    "  get [KIND [NAME]]        declarations in force\n"
-    "  status                   routers, and upstreams as they see them\n"
-    "  counters [PREFIX]        counters of a router\n"
-    "  explain REQUEST-ID       why a recent request went where it did\n"
-    "  crashes                  requests under which upstreams have ended\n"
-    "  release DIGEST           let one of them be sent again\n"
-    "  story REQUEST-ID LOG...  what became of a request, from saved logs\n"
-    "  report LOG...            what became of all requests, as tables\n"
+    "  apply FILE...            put declarations in force\n"
+    "  result COMMAND-ID        show the outcome of a command\n"
+    "  get [KIND [NAME]]        show declarations in force\n"
+    "  status                   show routers and their view of upstreams\n"
+    "  counters [PREFIX]        show the counters of a router\n"
+    "  explain REQUEST-ID       show how a recent request was routed\n"
+    "  crashes                  list requests during which upstreams crashed\n"
+    "  release DIGEST           lift the quarantine of such a request\n"
+    "  story REQUEST-ID LOG...  show the timeline of a request from logs\n"
+    "  report LOG...            summarize the requests in logs as tables\n"
     "  hash-key                 hash a key read from standard input\n"
-    "  reference                the reference of all settings, in Markdown\n"
+    "  reference                print the settings reference in Markdown\n"
     "\n"
-    "Routers and the key may be named by WHEATTILLER_ROUTERS (with commas "
-    "between) and WHEATTILLER_KEY as well.\n"
+    "Without --router and --key-file, the environment variables "
+    "WHEATTILLER_ROUTERS (separated by commas) and WHEATTILLER_KEY are "
+    "used.\n"
     "\n"
-    "Exit codes: 0 done, 1 a file or declaration is at fault or nothing was "
+    "Exit codes: 0 success, 1 a file or declaration is invalid or nothing was "
     "found, 2 bad usage, 3 no router or log was reached and nothing was "
-    "changed, 4 another change came first, 5 the outcome is unknown.";
+    "changed, 4 conflict with an earlier change, 5 the outcome is unknown.";
 
 static const struct argp_option options[] = {
     {"settings", OPTION_SETTINGS, "FILE", 0, "Settings of the router", 0},
     {"verbose", OPTION_VERBOSE, NULL, 0, "Log at debug level", 0},
     {"router", OPTION_ROUTER, "IP:PORT", 0,
-     "A router's operator interface; may be given again", 0},
-    {"key-file", OPTION_KEY_FILE, "FILE", 0, "File with the operators' key",
-     0},
-    {"output", OPTION_OUTPUT, "text|json", 0, "Form of the answers", 0},
+     "A router's operator interface; may be repeated", 0},
+    {"key-file", OPTION_KEY_FILE, "FILE", 0, "File with the operator key", 0},
+    {"output", OPTION_OUTPUT, "text|json", 0, "Output format", 0},
     {"wait", OPTION_WAIT, NULL, 0,
-     "apply: return when every router named has it in force", 0},
+     "apply: wait until the changes are in force on every listed router", 0},
     {"prune", OPTION_PRUNE, NULL, 0,
-     "plan, apply: remove what the files do not declare", 0},
-    {"timeout", OPTION_TIMEOUT, "MS", 0, "How long one call may take", 0},
+     "plan, apply: remove objects that the files do not declare", 0},
+    {"timeout", OPTION_TIMEOUT, "MS", 0, "Timeout of one call", 0},
     {0},
 };
 
@@ -110,11 +110,11 @@
 add_routers(ClientOptions_t *client, const char *text)
 {
     g_auto(GStrv) parts = g_strsplit(text, ",", -1);
-    gboolean good = TRUE;
+    gboolean valid = TRUE;
     for (guint i = 0; parts[i]; i++) {
-        good = add_router(client, g_strstrip(parts[i])) && good;
+        valid = add_router(client, g_strstrip(parts[i])) && valid;
     }
-    return good;
+    return valid;
 }
 
 static gboolean
@@ -133,10 +133,10 @@
 read_timeout(ClientOptions_t *client, const char *text)
 {
     guint64 wait = 0;
-    gboolean good =
+    gboolean valid =
         g_ascii_string_to_unsigned(text, 10, 1, 3600000, &wait, NULL);
     client->timeout_ms = (gint64)wait;
-    return good;
+    return valid;
 }
 
 static gboolean
@@ -151,7 +151,7 @@
 {
     Arguments_t *arguments = state->input;
     ClientOptions_t *client = &arguments->client;
-    gboolean good = TRUE;
+    gboolean valid = TRUE;
     switch (key) {
     case OPTION_SETTINGS:
         arguments->settings = value;
@@ -160,13 +160,13 @@
         arguments->verbose = TRUE;
         break;
     case OPTION_ROUTER:
-        good = add_routers(client, value);
+        valid = add_routers(client, value);
         break;
     case OPTION_KEY_FILE:
-        good = read_key_file(client, value);
+        valid = read_key_file(client, value);
         break;
     case OPTION_OUTPUT:
-        good = read_output(client, value);
+        valid = read_output(client, value);
         break;
     case OPTION_WAIT:
         client->wait = TRUE;
@@ -175,15 +175,15 @@
         client->prune = TRUE;
         break;
     case OPTION_TIMEOUT:
-        good = read_timeout(client, value);
+        valid = read_timeout(client, value);
         break;
     case ARGP_KEY_ARG:
-        g_ptr_array_add(arguments->words, value);
+        g_ptr_array_add(arguments->args, value);
         break;
     default:
         return ARGP_ERR_UNKNOWN;
     }
-    if (!good) {
+    if (!valid) {
         argp_error(state, "bad value: %s", value);
     }
     return 0;
@@ -199,9 +199,9 @@
     }
 }
 
-/* The settings name the form by its place; the native one needs none. */
+/* Returns NULL for the native platform. */
 static const PlatformForm_t *
-form_of(const Arguments_t *arguments, const Settings_t *settings)
+find_platform_form(const Arguments_t *arguments, const Settings_t *settings)
 {
     return arguments->forms[settings->platform.form];
 }
@@ -224,15 +224,17 @@
     Log_setBudget(settings->limits.log_budget);
     Log_setLevel((LogLevel_t)settings->limits.log_level);
     g_autoptr(GError) error = NULL;
-    gboolean good = Router_run(settings, form_of(arguments, settings), &error);
-    if (!good) {
+    gboolean valid =
+        Router_run(settings, find_platform_form(arguments, settings), &error);
+    if (!valid) {
         Log_error("router_failed", error);
     }
     Settings_destroy(settings);
-    return good ? EXIT_OK : EXIT_INVALID;
+    return valid ? EXIT_OK : EXIT_INVALID;
 }
 
-/* A file with any section of settings is taken for a settings file. */
+/* A file with at least one known settings section is a settings file; all
+ * others are checked as declarations. */
 static gboolean
 is_settings_file(const char *path)
 {
@@ -255,13 +257,13 @@
 {
     g_autoptr(GPtrArray) problems = Problems_create();
     g_autoptr(GPtrArray) declarations = g_ptr_array_new();
-    for (char **word = arguments->client.words; *word; word++) {
-        if (g_file_test(*word, G_FILE_TEST_IS_DIR) ||
-            !is_settings_file(*word)) {
-            g_ptr_array_add(declarations, *word);
+    for (char **path = arguments->client.args; *path; path++) {
+        if (g_file_test(*path, G_FILE_TEST_IS_DIR) ||
+            !is_settings_file(*path)) {
+            g_ptr_array_add(declarations, *path);
             continue;
         }
-        Settings_t *settings = Settings_create(*word, problems);
+        Settings_t *settings = Settings_create(*path, problems);
         if (settings) {
             Settings_destroy(settings);
         }
@@ -274,9 +276,9 @@
     return problems->len > 0 ? EXIT_INVALID : EXIT_OK;
 }
 
-/* Prints what was made of logs, or the error. */
+/* Prints @text and frees it, or prints @error if @text is NULL. */
 static ExitCode_t
-print_text(GString *text, const GError *error)
+print_log_result(GString *text, const GError *error)
 {
     if (!text) {
         fprintf(stderr, "wheattiller: %s\n", error->message);
@@ -288,29 +290,29 @@
 }
 
 static ExitCode_t
-run_story(Arguments_t *arguments)
+run_timeline(Arguments_t *arguments)
 {
-    char **words = arguments->client.words;
-    if (!words[0] || !words[1]) {
+    char **args = arguments->client.args;
+    if (!args[0] || !args[1]) {
         fputs("wheattiller: story needs a request's id and files\n", stderr);
         return EXIT_USAGE;
     }
     g_autoptr(GError) error = NULL;
-    GString *story = LogStory_tell(words[0], words + 1, &error);
-    return print_text(story, error);
+    GString *timeline = LogTimeline_write(args[0], args + 1, &error);
+    return print_log_result(timeline, error);
 }
 
 static ExitCode_t
 run_report(Arguments_t *arguments)
 {
-    char **words = arguments->client.words;
-    if (!words[0]) {
+    char **args = arguments->client.args;
+    if (!args[0]) {
         fputs("wheattiller: report needs files\n", stderr);
         return EXIT_USAGE;
     }
     g_autoptr(GError) error = NULL;
-    GString *report = LogReport_write(words, &error);
-    return print_text(report, error);
+    GString *report = LogReport_write(args, &error);
+    return print_log_result(report, error);
 }
 
 static ExitCode_t
@@ -424,20 +426,20 @@
     {"result", run_result},       {"get", run_get},
     {"status", run_status},       {"counters", run_counters},
     {"explain", run_explain},     {"hash-key", run_hash_key},
-    {"reference", run_reference}, {"story", run_story},
+    {"reference", run_reference}, {"story", run_timeline},
     {"report", run_report},       {"crashes", run_crashes},
     {"release", run_release},
 };
 
 static ExitCode_t
-dispatch(Arguments_t *arguments, const char *name)
+run_command(Arguments_t *arguments, const char *name)
 {
     for (gsize i = 0; i < G_N_ELEMENTS(commands); i++) {
         if (strcmp(commands[i].name, name) == 0) {
             return commands[i].run(arguments);
         }
     }
-    fprintf(stderr, "wheattiller: no command %s; see --help\n", name);
+    fprintf(stderr, "wheattiller: unknown command %s; see --help\n", name);
     return EXIT_USAGE;
 }
 
@@ -460,22 +462,22 @@
                                        .parser = parse_option,
                                        .args_doc = args_doc,
                                        .doc = usage_doc};
-    Arguments_t arguments = {.forms = forms, .words = g_ptr_array_new()};
+    Arguments_t arguments = {.forms = forms, .args = g_ptr_array_new()};
     arguments.client.routers = g_array_new(FALSE, FALSE, sizeof(Address_t));
     arguments.client.timeout_ms = DEFAULT_TIMEOUT_MS;
     argp_err_exit_status = EXIT_USAGE;
     argp_parse(&parser, argc, argv, 0, NULL, &arguments);
     ExitCode_t code = EXIT_USAGE;
     read_environment(&arguments.client);
-    g_ptr_array_add(arguments.words, NULL);
-    if (arguments.words->len > 1) {
-        arguments.client.words = (char **)arguments.words->pdata + 1;
-        code = dispatch(&arguments, g_ptr_array_index(arguments.words, 0));
+    g_ptr_array_add(arguments.args, NULL);
+    if (arguments.args->len > 1) {
+        arguments.client.args = (char **)arguments.args->pdata + 1;
+        code = run_command(&arguments, g_ptr_array_index(arguments.args, 0));
     }
     else {
         argp_help(&parser, stderr, ARGP_HELP_STD_USAGE, argv[0]);
     }
-    g_ptr_array_unref(arguments.words);
+    g_ptr_array_unref(arguments.args);
     g_array_unref(arguments.client.routers);
     g_free(arguments.client.key);
     return code;
--- a/src/Counters.c
+++ b/src/Counters.c
@@ -11,7 +11,7 @@
     const char *prefix;
     CountersVisit_t visit;
     void *data;
-} Walk_t;
+} CounterVisitor_t;
 
 static gint
 compare_names(gconstpointer a, gconstpointer b, gpointer data)
@@ -44,7 +44,7 @@
 }
 
 static guint64 *
-find_or_make(Counters_t *this, const char *name)
+find_or_create(Counters_t *this, const char *name)
 {
     guint64 *value = g_tree_lookup(this->values, name);
     if (value) {
@@ -52,7 +52,7 @@
     }
     gboolean full = g_tree_nnodes(this->values) >= COUNTERS_MAX;
     if (full && g_strcmp0(name, OVERFLOW_NAME) != 0) {
-        return find_or_make(this, OVERFLOW_NAME);
+        return find_or_create(this, OVERFLOW_NAME);
     }
     value = g_new0(guint64, 1);
     g_tree_insert(this->values, g_strdup(name), value);
@@ -64,7 +64,7 @@
              guint64 amount)
 {
     g_autofree char *full = full_name(name, labels);
-    *find_or_make(this, full) += amount;
+    *find_or_create(this, full) += amount;
 }
 
 void
@@ -89,36 +89,36 @@
 static gboolean
 visit_value(gpointer key, gpointer value, gpointer data)
 {
-    const Walk_t *walk = data;
-    if (g_str_has_prefix(key, walk->prefix)) {
-        walk->visit(key, *(guint64 *)value, walk->data);
+    const CounterVisitor_t *visitor = data;
+    if (g_str_has_prefix(key, visitor->prefix)) {
+        visitor->visit(key, *(guint64 *)value, visitor->data);
     }
     return FALSE;
 }
 
 static void
-visit_suffix(const Walk_t *walk, const char *name, const char *suffix,
-             guint64 value)
+visit_suffix(const CounterVisitor_t *visitor, const char *name,
+             const char *suffix, guint64 value)
 {
     g_autofree char *full = g_strconcat(name, suffix, NULL);
-    walk->visit(full, value, walk->data);
+    visitor->visit(full, value, visitor->data);
 }
 
 static gboolean
 visit_histogram(gpointer key, gpointer value, gpointer data)
 {
-    const Walk_t *walk = data;
+    const CounterVisitor_t *visitor = data;
     const Histogram_t *histogram = value;
-    if (!g_str_has_prefix(key, walk->prefix)) {
+    if (!g_str_has_prefix(key, visitor->prefix)) {
         return FALSE;
     }
-    visit_suffix(walk, key, "_count", histogram->count);
-    visit_suffix(walk, key, "_sum", histogram->sum);
-    visit_suffix(walk, key, "{quantile=\"0.5\"}",
+    visit_suffix(visitor, key, "_count", histogram->count);
+    visit_suffix(visitor, key, "_sum", histogram->sum);
+    visit_suffix(visitor, key, "{quantile=\"0.5\"}",
                  Histogram_quantile(histogram, 0.5));
-    visit_suffix(walk, key, "{quantile=\"0.95\"}",
+    visit_suffix(visitor, key, "{quantile=\"0.95\"}",
                  Histogram_quantile(histogram, 0.95));
-    visit_suffix(walk, key, "{quantile=\"0.99\"}",
+    visit_suffix(visitor, key, "{quantile=\"0.99\"}",
                  Histogram_quantile(histogram, 0.99));
     return FALSE;
 }
@@ -127,7 +127,7 @@
 Counters_forEach(const Counters_t *this, const char *prefix,
                  CountersVisit_t visit, void *data)
 {
-    Walk_t walk = {prefix, visit, data};
-    g_tree_foreach(this->values, visit_value, &walk);
-    g_tree_foreach(this->histograms, visit_histogram, &walk);
+    CounterVisitor_t visitor = {prefix, visit, data};
+    g_tree_foreach(this->values, visit_value, &visitor);
+    g_tree_foreach(this->histograms, visit_histogram, &visitor);
 }
--- a/src/Counters.h
+++ b/src/Counters.h
@@ -3,10 +3,12 @@
 /**
  * DOC: Counters
  *
- * The process's own counters: one for each refusal and each retry reason,
- * by service and customer class, and histograms of durations. A counter is
- * made when it is first used. Their number is bounded: past
- * COUNTERS_MAX all further names count as "counters_overflow".
+ * Counters and duration histograms of this process, for example refusals and
+ * retries by reason, service and customer class. A counter is created on
+ * first use. Once COUNTERS_MAX counters exist, increments of new names go to
+ * "counters_overflow", which bounds the memory.
+ *
+ * Histograms have no such bound: their names are constants in the code.
  */
 #include <glib.h>
 
@@ -20,32 +22,31 @@
 typedef struct Counters Counters_t;
 
 /**
- * Counters_create() - an empty set
+ * Counters_create() - create an empty set
  */
 Counters_t *Counters_create(void);
 
 /**
- * Counters_destroy() - free it
+ * Counters_destroy() - free the set
  */
 void Counters_destroy(Counters_t *this);
 
 /**
  * Counters_add() - add to the counter of this name
- * @name: what is counted, in snake_case
- * @labels: "key=\"value\",..." as in plain exposition text, or NULL
+ * @name: metric name, in snake_case
+ * @labels: "key=\"value\",..." as in the Prometheus text format, or NULL
  */
 void Counters_add(Counters_t *this, const char *name, const char *labels,
                   guint64 amount);
 
 /**
- * Counters_observe() - record a duration
- * @microseconds: its length
+ * Counters_observe() - record a duration in the histogram of this name
  */
 void Counters_observe(Counters_t *this, const char *name,
                       guint64 microseconds);
 
 /**
- * Counters_value() - what a counter stands at, 0 for one never used
+ * Counters_value() - current value of a counter, 0 if it was never used
  */
 guint64 Counters_value(const Counters_t *this, const char *name,
                        const char *labels);
--- a/src/EngineHttp.c
+++ b/src/EngineHttp.c
@@ -110,14 +110,14 @@
             EngineToken_t *token, json_t **json)
 {
     *json = json_loadb(data, length, 0, NULL);
-    const char *stream = Json_text(*json, "id");
+    const char *stream = Json_getString(*json, "id");
     if (!stream || strcmp(stream, head->stream) != 0) {
         return FALSE;
     }
     const json_t *choice =
         json_array_get(json_object_get(*json, "choices"), 0);
     token->text = find_choice_text(choice, &token->length);
-    token->finish = Json_text(choice, "finish_reason");
+    token->finish = Json_getString(choice, "finish_reason");
     return token->text != NULL;
 }
 
@@ -225,13 +225,13 @@
     memset(refusal, 0, sizeof(*refusal));
     json_t *root = Json_parse(body, length, NULL);
     const json_t *error = json_object_get(root, "error");
-    const char *code = Json_text(error, "code");
-    const char *run = Json_text(error, "run");
+    const char *code = Json_getString(error, "code");
+    const char *run = Json_getString(error, "run");
     g_strlcpy(refusal->code, code ? code : "unspecified",
               sizeof(refusal->code));
     refusal->not_run = run && strcmp(run, "not_run") == 0;
     refusal->leaving = strcmp(refusal->code, "leaving") == 0;
-    refusal->incarnation = (guint64)Json_integer(error, "incarnation", 0);
+    refusal->incarnation = (guint64)Json_getInteger(error, "incarnation", 0);
     refusal->final = refusal->not_run && status == HTTP_BADREQUEST;
     json_decref(root);
 }
--- a/src/Errors.h
+++ b/src/Errors.h
@@ -3,28 +3,29 @@
 /**
  * DOC: Errors
  *
- * The GError domain of wheattiller and its codes. What a caller sees of a
- * failed request is a Refusal_t (Refusal.h), never one of these.
+ * The GError domain of wheattiller and its codes. They stay inside the
+ * process: a caller whose request fails gets a Refusal_t (Refusal.h).
  */
 #include <glib.h>
 
 #define WT_ERROR Errors_quark()
 
 /**
- * enum ErrorKind_t - every failure inside a process
+ * enum ErrorKind_t - kinds of failures inside a process
  * @WT_ERROR_FILE_UNREADABLE: a file could not be read
- * @WT_ERROR_INVALID_DECLARATIONS: settings or declarations failed the checks
- * @WT_ERROR_CONNECT: a peer was not reached; nothing was sent
- * @WT_ERROR_TIMEOUT: no answer came in time; the effect is unknown
- * @WT_ERROR_CUT: the connection ended early; the effect is unknown
- * @WT_ERROR_REFUSED: the peer answered that it will not
- * @WT_ERROR_BAD_ANSWER: the peer's answer does not follow its interface
- * @WT_ERROR_TRUNCATED: the log no longer has the offset that was asked for
- * @WT_ERROR_OLD_EPOCH: the store has come back from an older copy since this
- *     answer was made; the effect is unknown
- * @WT_ERROR_BAD_TOKEN: a resume token is forged, damaged or of other keys
- * @WT_ERROR_BAD_BODY: a request's body is not what the interface asks for
- * @WT_ERROR_LISTEN: an address could not be listened on
+ * @WT_ERROR_INVALID_DECLARATIONS: settings or declarations are invalid
+ * @WT_ERROR_CONNECT: the connection failed; nothing was sent
+ * @WT_ERROR_TIMEOUT: no answer arrived in time; the effect is unknown
+ * @WT_ERROR_CUT: the connection was closed before the answer was complete; the
+ *     effect is unknown
+ * @WT_ERROR_REFUSED: the peer refused the request
+ * @WT_ERROR_BAD_ANSWER: the peer's answer is malformed
+ * @WT_ERROR_TRUNCATED: the log no longer has the requested offset
+ * @WT_ERROR_OLD_EPOCH: the answer predates a restore of the store from an
+ *     older copy; the effect is unknown
+ * @WT_ERROR_BAD_TOKEN: a resume token is forged, damaged or uses other keys
+ * @WT_ERROR_BAD_BODY: a request body is malformed
+ * @WT_ERROR_LISTEN: listening on an address failed
  */
 typedef enum {
     WT_ERROR_FILE_UNREADABLE,
--- a/src/Exchange.c
+++ b/src/Exchange.c
@@ -77,7 +77,7 @@
     UpstreamGate_release(&this->upstream_gate);
     ExchangeLog_end(this, outcome);
     this->trace->outcome = outcome;
-    Traces_keep(this->context->traces, this->trace);
+    Traces_add(this->context->traces, this->trace);
     evtimer_del(this->deadline_timer);
     restart_next_timer(this, on_reap, 0);
 }
--- a/src/ExitCode.h
+++ b/src/ExitCode.h
@@ -3,17 +3,17 @@
 /**
  * DOC: ExitCode
  *
- * What the commands of the program return to the shell.
+ * Exit codes of the command line program.
  */
 
 /**
- * enum ExitCode_t - what a command returns to the shell
- * @EXIT_OK: done
- * @EXIT_INVALID: a file or a declaration is at fault, or nothing was found
- * @EXIT_USAGE: the command line is at fault
+ * enum ExitCode_t - exit codes, the same for all commands
+ * @EXIT_OK: success
+ * @EXIT_INVALID: a file or a declaration is invalid, or nothing was found
+ * @EXIT_USAGE: the command line is invalid
  * @EXIT_UNREACHABLE: no router or log was reached; nothing was changed
- * @EXIT_CONFLICT: another operator's change came first
- * @EXIT_UNKNOWN: the outcome is unknown; ask again with "result"
+ * @EXIT_CONFLICT: a change that was applied earlier conflicts
+ * @EXIT_UNKNOWN: the outcome is unknown; query it with "result"
  */
 typedef enum {
     EXIT_OK = 0,
--- a/src/InstanceList.c
+++ b/src/InstanceList.c
@@ -49,15 +49,15 @@
 static void
 take_entry(InstanceList_t *this, const json_t *entry)
 {
-    const char *name = Json_text(entry, "name");
-    const char *state = Json_text(entry, "state");
+    const char *name = Json_getString(entry, "name");
+    const char *state = Json_getString(entry, "state");
     Upstream_t *upstream =
         name ? UpstreamSet_find(this->upstreams, name) : NULL;
-    take_router(this, Json_text(entry, "peer"));
+    take_router(this, Json_getString(entry, "peer"));
     if (!upstream || !state) {
         return;
     }
-    guint64 incarnation = (guint64)Json_integer(entry, "incarnation", 0);
+    guint64 incarnation = (guint64)Json_getInteger(entry, "incarnation", 0);
     if (Upstream_noteIncarnation(upstream, incarnation, Clock_nowMs())) {
         Membership_spreadUpstream(this->membership, name);
     }
--- a/src/Json.c
+++ b/src/Json.c
@@ -26,34 +26,37 @@
 void
 Json_appendString(GString *out, const char *text, gssize length)
 {
-    size_t left = length < 0 ? strlen(text) : (size_t)length;
-    if (!g_utf8_validate_len(text, left, NULL)) {
-        left = 0;
+    size_t size = length < 0 ? strlen(text) : (size_t)length;
+    if (!g_utf8_validate_len(text, size, NULL)) {
+        size = 0;
     }
     g_string_append_c(out, '"');
-    size_t run = 0;
-    for (size_t i = 0; i < left; i++) {
+    size_t unescaped_start = 0;
+    for (size_t i = 0; i < size; i++) {
         unsigned char byte = (unsigned char)text[i];
         if (byte >= 0x20 && byte != '"' && byte != '\\') {
             continue;
         }
-        g_string_append_len(out, text + run, (gssize)(i - run));
+        g_string_append_len(out, text + unescaped_start,
+                            (gssize)(i - unescaped_start));
         append_escape(out, byte);
-        run = i + 1;
+        unescaped_start = i + 1;
     }
-    g_string_append_len(out, text + run, (gssize)(left - run));
+    g_string_append_len(out, text + unescaped_start,
+                        (gssize)(size - unescaped_start));
     g_string_append_c(out, '"');
 }
 
 json_t *
 Json_parse(const char *data, size_t length, GError **error)
 {
-    json_error_t fault;
-    json_t *root = json_loadb(data, length, JSON_REJECT_DUPLICATES, &fault);
+    json_error_t parse_error;
+    json_t *root =
+        json_loadb(data, length, JSON_REJECT_DUPLICATES, &parse_error);
     if (!root) {
         g_set_error(error, WT_ERROR, WT_ERROR_BAD_BODY,
-                    "line %d, column %d: %s", fault.line, fault.column,
-                    fault.text);
+                    "line %d, column %d: %s", parse_error.line,
+                    parse_error.column, parse_error.text);
         return NULL;
     }
     if (!json_is_object(root)) {
@@ -66,13 +69,13 @@
 }
 
 const char *
-Json_text(const json_t *object, const char *key)
+Json_getString(const json_t *object, const char *key)
 {
     return json_string_value(json_object_get(object, key));
 }
 
 gint64
-Json_integer(const json_t *object, const char *key, gint64 fallback)
+Json_getInteger(const json_t *object, const char *key, gint64 fallback)
 {
     const json_t *value = json_object_get(object, key);
     return json_is_integer(value) ? json_integer_value(value) : fallback;
--- a/src/Json.h
+++ b/src/Json.h
@@ -3,46 +3,46 @@
 /**
  * DOC: Json
  *
- * The few steps between jansson and GString that every module needs.
+ * Helpers to parse JSON with jansson and to write it into a GString.
  */
 #include <glib.h>
 #include <jansson.h>
 
 /**
  * Json_appendString() - append text as a quoted JSON string
- * @out: gets the string with its quotes
+ * @out: the string is appended here, with its quotes
  * @text: UTF-8
- * @length: bytes of @text, or -1 when it ends at its NUL
+ * @length: bytes of @text, or -1 if it is terminated by NUL
  *
  * Text that is not UTF-8 is appended as the empty string.
  */
 void Json_appendString(GString *out, const char *text, gssize length);
 
 /**
- * Json_parse() - parse one object
- * @data: bytes of the text
- * @length: how many
- * @error: WT_ERROR_BAD_BODY with the place of the fault
+ * Json_parse() - parse a text that is one JSON object
+ * @length: bytes of @data
+ * @error: WT_ERROR_BAD_BODY with line and column
  *
- * Repeated keys are refused, since readers differ on which one counts.
+ * Duplicate keys are rejected, since JSON parsers differ on which value wins.
  *
  * Return: a new reference, or NULL
  */
 json_t *Json_parse(const char *data, size_t length, GError **error);
 
 /**
- * Json_text() - a member that is a string
+ * Json_getString() - value of a string member
  *
- * Return: the text inside @object, or NULL where it is missing or of
+ * Return: text owned by @object, or NULL if the member is missing or has
  * another type
  */
-const char *Json_text(const json_t *object, const char *key);
+const char *Json_getString(const json_t *object, const char *key);
 
 /**
- * Json_integer() - a member that is an integer
+ * Json_getInteger() - value of an integer member
  *
- * Return: the number, or @fallback where it is missing or of another type
+ * Return: the number, or @fallback if the member is missing or has another
+ * type
  */
-gint64 Json_integer(const json_t *object, const char *key, gint64 fallback);
+gint64 Json_getInteger(const json_t *object, const char *key, gint64 fallback);
 
 #endif
--- a/src/Log.c
+++ b/src/Log.c
@@ -7,28 +7,29 @@
 
 #include "Clock.h"
 
-/* The budget may gather for so long, for bursts. */
+/* Unused budget accumulates for this many seconds, to allow bursts. */
 #define BURST_S 4
-/* This part of the budget is left to warnings and errors: one in so many. */
-#define RESERVED_PART 4
+/* 1/RESERVED_DIVISOR of the full allowance is reserved for warnings and
+ * errors. */
+#define RESERVED_DIVISOR 4
 
 static GString *line;
 static char process_name[64] = "wheattiller";
-static LogLevel_t most_verbose = LOG_LEVEL_INFO;
+static LogLevel_t current_level = LOG_LEVEL_INFO;
 static gboolean opened_for_debug;
 static gboolean skipped;
-static LogLevel_t level_of_line;
-static gint64 budget; /* bytes a second, 0 for no bound */
-static gint64 room;   /* bytes that may be written now */
-static gint64 filled_ms;
-static guint left_out;
+static LogLevel_t line_level;
+static gint64 budget_bytes_per_s; /* 0 for no limit */
+static gint64 allowance;          /* bytes that may be written now */
+static gint64 refilled_ms;
+static guint dropped_lines;
 
 void
-Log_open(const char *name, LogLevel_t most)
+Log_open(const char *name, LogLevel_t max_level)
 {
     g_strlcpy(process_name, name, sizeof(process_name));
-    most_verbose = most;
-    opened_for_debug = most == LOG_LEVEL_DEBUG;
+    current_level = max_level;
+    opened_for_debug = max_level == LOG_LEVEL_DEBUG;
     int flags = fcntl(STDOUT_FILENO, F_GETFL);
     if (flags >= 0) {
         fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
@@ -36,49 +37,51 @@
 }
 
 void
-Log_setLevel(LogLevel_t most)
+Log_setLevel(LogLevel_t max_level)
 {
     if (!opened_for_debug) {
-        most_verbose = most;
+        current_level = max_level;
     }
 }
 
 void
-Log_setBudget(gint64 bytes_a_second)
+Log_setBudget(gint64 bytes_per_s)
 {
-    budget = bytes_a_second;
-    room = bytes_a_second * BURST_S;
-    filled_ms = Clock_nowMs();
+    budget_bytes_per_s = bytes_per_s;
+    allowance = bytes_per_s * BURST_S;
+    refilled_ms = Clock_nowMs();
 }
 
 static void
-refill(void)
+refill_allowance(void)
 {
     gint64 now_ms = Clock_nowMs();
-    room = MIN(room + (now_ms - filled_ms) * budget / 1000, budget * BURST_S);
-    filled_ms = now_ms;
+    allowance =
+        MIN(allowance + (now_ms - refilled_ms) * budget_bytes_per_s / 1000,
+            budget_bytes_per_s * BURST_S);
+    refilled_ms = now_ms;
 }
 
 static gboolean
-has_room(gsize length)
+charge_allowance(gsize length)
 {
-    if (budget == 0) {
+    if (budget_bytes_per_s == 0) {
         return TRUE;
     }
-    refill();
-    gint64 reserved = level_of_line <= LOG_LEVEL_WARNING
+    refill_allowance();
+    gint64 reserved = line_level <= LOG_LEVEL_WARNING
                           ? 0
-                          : budget * BURST_S / RESERVED_PART;
-    if (room - reserved < (gint64)length) {
+                          : budget_bytes_per_s * BURST_S / RESERVED_DIVISOR;
+    if (allowance - reserved < (gint64)length) {
         return FALSE;
     }
-    room -= (gint64)length;
+    allowance -= (gint64)length;
     return TRUE;
 }
 
-/* A line of which only a part fits into a pipe is cut there. */
+/* A line that fits into the pipe only in part is truncated. */
 static gboolean
-put(const char *text, gsize length)
+write_nonblocking(const char *text, gsize length)
 {
     ssize_t written = 0;
     do {
@@ -88,24 +91,24 @@
 }
 
 static void
-tell_left_out(void)
+log_dropped_lines(void)
 {
     g_autofree char *text = g_strdup_printf(
         "<%d>%s[%d]: event=log_lines_left_out count=%u\n",
-        (int)LOG_LEVEL_WARNING, process_name, (int)getpid(), left_out);
-    if (put(text, strlen(text))) {
-        left_out = 0;
+        (int)LOG_LEVEL_WARNING, process_name, (int)getpid(), dropped_lines);
+    if (write_nonblocking(text, strlen(text))) {
+        dropped_lines = 0;
     }
 }
 
 void
 Log_begin(LogLevel_t level, const char *event)
 {
-    skipped = level > most_verbose;
+    skipped = level > current_level;
     if (skipped) {
         return;
     }
-    level_of_line = level;
+    line_level = level;
     if (!line) {
         line = g_string_sized_new(256);
     }
@@ -152,15 +155,15 @@
         return;
     }
     g_string_append_c(line, '\n');
-    if (!has_room(line->len)) {
-        left_out++;
+    if (!charge_allowance(line->len)) {
+        dropped_lines++;
         return;
     }
-    if (left_out > 0) {
-        tell_left_out();
+    if (dropped_lines > 0) {
+        log_dropped_lines();
     }
-    if (!put(line->str, line->len)) {
-        left_out++;
+    if (!write_nonblocking(line->str, line->len)) {
+        dropped_lines++;
     }
 }
 
--- a/src/Log.h
+++ b/src/Log.h
@@ -3,19 +3,19 @@
 /**
  * DOC: Log
  *
- * Syslog-style lines on standard output, one for each event, as key=value
- * pairs. A line is built with Log_begin(), any number of Log_text() and
+ * Syslog-style lines on standard output, one per event, with key=value pairs.
+ * A line is built with Log_begin(), any number of Log_text() and
  * Log_number(), and Log_end(). Prompts, keys and tokens are never logged.
  *
- * Writing never blocks: a line that the reader has no room for is left out,
- * and so is what exceeds the budget of bytes a second; the last part of the
- * budget is kept for warnings and errors. How many were left out is told by
- * a line of its own as soon as there is room.
+ * Writing never blocks. A line is dropped if the pipe is full or if it exceeds
+ * the budget of bytes per second; a quarter of the budget is reserved for
+ * warnings and errors. The number of dropped lines is logged as soon as a line
+ * can be written again.
  */
 #include <glib.h>
 
 /**
- * enum LogLevel_t - syslog's severities, as far as they are used
+ * enum LogLevel_t - the syslog severities in use
  */
 typedef enum {
     LOG_LEVEL_ERROR = 3,
@@ -25,31 +25,32 @@
 } LogLevel_t;
 
 /**
- * Log_open() - name the process and the least severe level that is written
+ * Log_open() - set the process name and the log level
  * @name: shown in each line; copied
+ * @max_level: least severe level that is written
  */
-void Log_open(const char *name, LogLevel_t most);
+void Log_open(const char *name, LogLevel_t max_level);
 
-/** Log_setLevel() - another least severe level; one that was opened for
- * debugging keeps its own */
-void Log_setLevel(LogLevel_t most);
+/** Log_setLevel() - change the log level; no effect after Log_open() with
+ * LOG_LEVEL_DEBUG, so that --verbose overrides the settings */
+void Log_setLevel(LogLevel_t max_level);
 
-/** Log_setBudget() - most bytes a second; 0 for no bound */
-void Log_setBudget(gint64 bytes_a_second);
+/** Log_setBudget() - limit the output rate; 0 for no limit */
+void Log_setBudget(gint64 bytes_per_s);
 
 /**
  * Log_begin() - start a line
- * @event: what happened, in snake_case
+ * @event: name of the event, in snake_case
  */
 void Log_begin(LogLevel_t level, const char *event);
 
 /**
- * Log_text() - add a pair; the value is quoted where it needs to be
+ * Log_text() - add a key=value pair; the value is quoted if necessary
  */
 void Log_text(const char *key, const char *value);
 
 /**
- * Log_number() - add a pair with a whole number
+ * Log_number() - add a key=value pair with an integer
  */
 void Log_number(const char *key, gint64 value);
 
@@ -59,7 +60,7 @@
 void Log_end(void);
 
 /**
- * Log_error() - write a whole line for a GError
+ * Log_error() - write a complete line for a GError
  */
 void Log_error(const char *event, const GError *error);
 
--- a/src/LogClient.h
+++ b/src/LogClient.h
@@ -3,26 +3,27 @@
 /**
  * DOC: LogClient
  *
- * The platform's append-only log as the rest of the project sees it. A wire
- * form of the log is one class (LogHttp.h).
+ * Interface to the platform's append-only log. Each wire protocol of the log
+ * is one class (LogHttp.h).
  */
 #include <glib.h>
 
 /**
  * LogAppended_t - called once for each append
- * @offset: of the record
- * @error: NULL, or WT_ERROR_CONNECT or _REFUSED where it is sure that
- *     nothing was appended, or another where it may have been or may yet be
+ * @offset: offset of the record
+ * @error: NULL on success; WT_ERROR_CONNECT or _REFUSED if certainly nothing
+ *     was appended; any other error if the record may have been appended or
+ *     may still be
  */
 typedef void (*LogAppended_t)(guint64 offset, const GError *error, void *data);
 
 /**
- * struct LogRecords_t - the answer to a read, valid during the callback
+ * struct LogRecords_t - result of a read, valid during the callback
  * @first: offset of the first record
  * @records: GBytes *, at consecutive offsets
- * @start: oldest offset that the log still has
- * @head: offset that the next record gets
- * @epoch: of the log when it answered (StoreEpoch.h)
+ * @start: oldest offset that the log still stores
+ * @head: offset that the next record will get
+ * @epoch: the log's epoch at the time of the answer (StoreEpoch.h)
  */
 typedef struct {
     guint64 first;
@@ -34,9 +35,9 @@
 
 /**
  * LogRead_t - called once for each read
- * @records: NULL where there is an error, but for WT_ERROR_TRUNCATED: then
- *     only @start and @epoch are set
- * @error: WT_ERROR_TRUNCATED where the offset is older than the log keeps
+ * @records: NULL on error; on WT_ERROR_TRUNCATED only @start and @epoch are
+ *     set
+ * @error: WT_ERROR_TRUNCATED if the offset is older than the oldest record
  */
 typedef void (*LogRead_t)(const LogRecords_t *records, const GError *error,
                           void *data);
@@ -44,7 +45,7 @@
 typedef struct LogClient LogClient_t;
 
 /**
- * struct LogClientClass_t - one wire form
+ * struct LogClientClass_t - methods of one wire protocol
  */
 typedef struct {
     void (*destroy)(LogClient_t *this);
@@ -55,13 +56,13 @@
 } LogClientClass_t;
 
 /**
- * struct LogClient_t - extended by each class
+ * struct LogClient_t - base of each class
  */
 struct LogClient {
     const LogClientClass_t *class;
 };
 
-/** LogClient_destroy() - free it; open calls are never answered */
+/** LogClient_destroy() - free it; callbacks of open calls are never called */
 static inline void
 LogClient_destroy(LogClient_t *this)
 {
@@ -70,7 +71,7 @@
 
 /**
  * LogClient_append() - append one record
- * @stream: name of the stream
+ * @stream: stream to append to
  */
 static inline void
 LogClient_append(LogClient_t *this, const char *stream, GBytes *record,
@@ -80,8 +81,8 @@
 }
 
 /**
- * LogClient_read() - read records from an offset on
- * @wait_ms: how long the log may hold the answer until there is one
+ * LogClient_read() - read records, starting at an offset
+ * @wait_ms: how long the log may delay its answer until a record exists
  */
 static inline void
 LogClient_read(LogClient_t *this, const char *stream, guint64 from,
--- a/src/LogHttp.c
+++ b/src/LogHttp.c
@@ -25,31 +25,31 @@
 } LogCall_t;
 
 static void
-end_call(LogCall_t *call)
+free_call(LogCall_t *call)
 {
     g_hash_table_remove(call->owner->calls, call);
     g_free(call);
 }
 
 static GError *
-refusal(const HttpAnswer_t *answer)
+status_error(const HttpAnswer_t *answer)
 {
     ErrorKind_t kind = WT_ERROR_REFUSED;
     if (answer->status == STATUS_GONE) {
         kind = WT_ERROR_TRUNCATED;
     }
-    return g_error_new(WT_ERROR, (gint)kind, "the log answered %d",
-                       answer->status);
+    return g_error_new(WT_ERROR, (gint)kind,
+                       "the log answered with HTTP status %d", answer->status);
 }
 
 static GError *
-fault_of(const LogHttp_t *this, const HttpAnswer_t *answer)
+answer_error(const LogHttp_t *this, const HttpAnswer_t *answer)
 {
     const char *epoch = evhttp_find_header(answer->headers, EPOCH_HEADER);
     GError *fault = NULL;
     if (StoreEpoch_check(this->epoch, epoch, &fault) &&
         answer->status != HTTP_OK) {
-        fault = refusal(answer);
+        fault = status_error(answer);
     }
     return fault;
 }
@@ -59,15 +59,15 @@
 {
     LogCall_t *call = data;
     g_autoptr(GError) fault =
-        answer ? fault_of(call->owner, answer) : g_error_copy(error);
+        answer ? answer_error(call->owner, answer) : g_error_copy(error);
     guint64 offset = 0;
     if (answer && !fault) {
         json_t *body = Json_parse(answer->body, answer->length, &fault);
-        offset = (guint64)Json_integer(body, "offset", 0);
+        offset = (guint64)Json_getInteger(body, "offset", 0);
         json_decref(body);
     }
     call->appended(offset, fault, call->data);
-    end_call(call);
+    free_call(call);
 }
 
 static void
@@ -91,13 +91,13 @@
 }
 
 static void
-answer_read(LogCall_t *call, const json_t *body)
+deliver_records(LogCall_t *call, const json_t *body)
 {
     LogRecords_t records = {
-        .first = (guint64)Json_integer(body, "first", 0),
+        .first = (guint64)Json_getInteger(body, "first", 0),
         .records = decode_records(body),
-        .start = (guint64)Json_integer(body, "start", 0),
-        .head = (guint64)Json_integer(body, "head", 0),
+        .start = (guint64)Json_getInteger(body, "start", 0),
+        .head = (guint64)Json_getInteger(body, "head", 0),
         .epoch = StoreEpoch_newest(call->owner->epoch),
     };
     call->read(&records, NULL, call->data);
@@ -105,12 +105,12 @@
 }
 
 static void
-answer_truncated(LogCall_t *call, const HttpAnswer_t *answer,
-                 const GError *fault)
+deliver_truncated(LogCall_t *call, const HttpAnswer_t *answer,
+                  const GError *fault)
 {
     json_t *body = Json_parse(answer->body, answer->length, NULL);
     LogRecords_t records = {
-        .start = (guint64)Json_integer(body, "start", 0),
+        .start = (guint64)Json_getInteger(body, "start", 0),
         .epoch = StoreEpoch_newest(call->owner->epoch),
     };
     call->read(body ? &records : NULL, fault, call->data);
@@ -118,11 +118,10 @@
 }
 
 static void
-answer_refused(LogCall_t *call, const HttpAnswer_t *answer,
-               const GError *fault)
+deliver_error(LogCall_t *call, const HttpAnswer_t *answer, const GError *fault)
 {
     if (g_error_matches(fault, WT_ERROR, WT_ERROR_TRUNCATED)) {
-        answer_truncated(call, answer, fault);
+        deliver_truncated(call, answer, fault);
     }
     else {
         call->read(NULL, fault, call->data);
@@ -130,12 +129,12 @@
 }
 
 static void
-answer_body(LogCall_t *call, const HttpAnswer_t *answer)
+deliver_body(LogCall_t *call, const HttpAnswer_t *answer)
 {
     g_autoptr(GError) fault = NULL;
     json_t *body = Json_parse(answer->body, answer->length, &fault);
     if (body) {
-        answer_read(call, body);
+        deliver_records(call, body);
         json_decref(body);
     }
     else {
@@ -147,17 +146,18 @@
 on_read(const HttpAnswer_t *answer, const GError *error, void *data)
 {
     LogCall_t *call = data;
-    g_autoptr(GError) fault = answer ? fault_of(call->owner, answer) : NULL;
+    g_autoptr(GError) fault =
+        answer ? answer_error(call->owner, answer) : NULL;
     if (!answer) {
         call->read(NULL, error, call->data);
     }
     else if (fault) {
-        answer_refused(call, answer, fault);
+        deliver_error(call, answer, fault);
     }
     else {
-        answer_body(call, answer);
+        deliver_body(call, answer);
     }
-    end_call(call);
+    free_call(call);
 }
 
 static LogCall_t *
--- a/src/LogHttp.h
+++ b/src/LogHttp.h
@@ -3,9 +3,9 @@
 /**
  * DOC: LogHttp
  *
- * The log service over HTTP and JSON: POST /streams/NAME/records appends the
- * body, GET /streams/NAME/records?from=N&wait_ms=T reads. Each answer tells
- * the log's epoch in a header.
+ * Client of the log service over HTTP and JSON. POST /streams/NAME/records
+ * appends the body; GET /streams/NAME/records?from=N&wait_ms=T reads. Each
+ * answer has the log's epoch in the header Log-Epoch.
  */
 #include <event2/event.h>
 
@@ -14,9 +14,9 @@
 #include "StoreEpoch.h"
 
 /**
- * LogHttp_create() - a client of one log service
- * @timeout_ms: how long an answer may take beyond a read's own wait
- * @epoch: of that log; must outlive it
+ * LogHttp_create() - create a client of one log service
+ * @timeout_ms: timeout of a call; the wait_ms of a read is added to it
+ * @epoch: epoch of that log; must outlive the client
  */
 LogClient_t *LogHttp_create(struct event_base *base, const Address_t *address,
                             gint64 timeout_ms, StoreEpoch_t *epoch);
--- a/src/LogLine.c
+++ b/src/LogLine.c
@@ -23,7 +23,8 @@
     return TRUE;
 }
 
-/* Behind the first quote, up to the last; a line may be cut before it. */
+/* Returns the closing quote of a value, or the end of a truncated line.
+ * @at: first character after the opening quote */
 static const char *
 end_of_quoted(const char *at)
 {
@@ -33,28 +34,27 @@
     return at;
 }
 
-/* Blanks in quotes, which follow a key's sign, do not end a word. */
+/* A blank ends a pair, unless it is inside a quoted value. */
 static const char *
-end_of_word(const char *at)
+end_of_pair(const char *at)
 {
-    const char *sign = at + strcspn(at, " =");
-    if (sign[0] == '=' && sign[1] == '"') {
-        at = end_of_quoted(sign + 2);
+    const char *equals = at + strcspn(at, " =");
+    if (equals[0] == '=' && equals[1] == '"') {
+        at = end_of_quoted(equals + 2);
     }
     return at + strcspn(at, " ");
 }
 
-/* Where a text that begins with a blank stands, but for those in quotes. */
+/* Finds a pair or key, which begins with a blank, outside of quoted values. */
 static const char *
 find_pair(const char *at, const char *pair)
 {
     while (*at && !g_str_has_prefix(at, pair)) {
-        at = end_of_word(*at == ' ' ? at + 1 : at);
+        at = end_of_pair(*at == ' ' ? at + 1 : at);
     }
     return *at ? at : NULL;
 }
 
-/* A pair ends at a blank or with its line. */
 gboolean
 LogLine_hasPair(const char *text, const char *pair)
 {
@@ -95,8 +95,8 @@
 }
 
 gboolean
-LogLine_eachOf(char **paths, void (*take)(void *owner, const char *),
-               void *owner, GError **error)
+LogLine_forEach(char **paths, void (*handle_line)(void *owner, const char *),
+                void *owner, GError **error)
 {
     for (char **path = paths; *path; path++) {
         g_autofree char *content = NULL;
@@ -108,7 +108,7 @@
         }
         g_auto(GStrv) texts = g_strsplit(content, "\n", -1);
         for (guint i = 0; texts[i]; i++) {
-            take(owner, texts[i]);
+            handle_line(owner, texts[i]);
         }
     }
     return TRUE;
--- a/src/LogReport.c
+++ b/src/LogReport.c
@@ -6,87 +6,88 @@
 #include "Histogram.h"
 #include "LogLine.h"
 
-/* What became of a group of requests. */
+/* Requests of one route, second or upstream, by outcome. */
 typedef struct {
     guint done;
-    guint whole;
-    guint late_first; /* began later than its route aims at */
-    guint late_pause; /* paused for longer */
+    guint complete;
+    guint late_first; /* first event later than the route's target */
+    guint late_pause; /* a pause longer than the route's target */
     guint refused;
-    guint cut;         /* ended after the answer had begun */
-    Histogram_t first; /* us to the first event */
-} Tally_t;
+    guint cut;                     /* failed after the answer had started */
+    Histogram_t first_event_times; /* time to the first event, us */
+} RequestCounts_t;
 
-/* Prompts whose shared part was had in one way. */
+/* Requests whose upstream obtained the shared prefix in the same way. */
 typedef struct {
     guint placed;
-    Histogram_t move;  /* us, as expected */
-    Histogram_t first; /* us to the first event, as measured */
-} SupplyTally_t;
+    Histogram_t move_times;        /* expected transfer time, us */
+    Histogram_t first_event_times; /* measured time to the first event, us */
+} SupplyCounts_t;
 
 typedef struct {
-    GHashTable *routes;    /* name -> Tally_t */
-    GHashTable *seconds;   /* second of the start -> Tally_t */
-    GHashTable *upstreams; /* name of the last one -> Tally_t */
+    GHashTable *routes;    /* name -> RequestCounts_t */
+    GHashTable *seconds;   /* second of the start -> RequestCounts_t */
+    GHashTable *upstreams; /* name of the last upstream -> RequestCounts_t */
     GHashTable *refusals;  /* "reason run" -> count */
     GHashTable *failures;  /* "upstream reason" -> count */
-    GHashTable *supplies;  /* kind -> SupplyTally_t */
-    GHashTable *placed;    /* request -> kind of its last placement */
+    GHashTable *supplies;  /* kind -> SupplyCounts_t */
+    GHashTable *supply_of; /* request id -> kind of its last placement */
     guint done;
 } Report_t;
 
-static Tally_t *
-tally_of(GHashTable *table, const char *key)
+static RequestCounts_t *
+find_or_create_counts(GHashTable *table, const char *key)
 {
-    Tally_t *tally = g_hash_table_lookup(table, key);
-    if (!tally) {
-        tally = g_new0(Tally_t, 1);
-        g_hash_table_insert(table, g_strdup(key), tally);
+    RequestCounts_t *counts = g_hash_table_lookup(table, key);
+    if (!counts) {
+        counts = g_new0(RequestCounts_t, 1);
+        g_hash_table_insert(table, g_strdup(key), counts);
     }
-    return tally;
+    return counts;
 }
 
-static SupplyTally_t *
-supply_of(Report_t *this, const char *kind)
+static SupplyCounts_t *
+find_or_create_supply(Report_t *this, const char *kind)
 {
-    SupplyTally_t *tally = g_hash_table_lookup(this->supplies, kind);
-    if (!tally) {
-        tally = g_new0(SupplyTally_t, 1);
-        g_hash_table_insert(this->supplies, g_strdup(kind), tally);
+    SupplyCounts_t *counts = g_hash_table_lookup(this->supplies, kind);
+    if (!counts) {
+        counts = g_new0(SupplyCounts_t, 1);
+        g_hash_table_insert(this->supplies, g_strdup(kind), counts);
     }
-    return tally;
+    return counts;
 }
 
 static void
 count_pair(GHashTable *table, const char *text, const char *first,
            const char *second)
 {
-    g_autofree char *one = LogLine_value(text, first);
-    g_autofree char *two = LogLine_value(text, second);
-    char *key = g_strconcat(one ? one : "none", " ", two ? two : "none", NULL);
+    g_autofree char *first_value = LogLine_value(text, first);
+    g_autofree char *second_value = LogLine_value(text, second);
+    char *key = g_strconcat(first_value ? first_value : "none", " ",
+                            second_value ? second_value : "none", NULL);
     guint count = GPOINTER_TO_UINT(g_hash_table_lookup(table, key));
     g_hash_table_replace(table, key, GUINT_TO_POINTER(count + 1));
 }
 
 static void
-note_outcome(Tally_t *tally, const char *text)
+note_outcome(RequestCounts_t *counts, const char *text)
 {
     gint64 first_us = LogLine_number(text, " first_us=", 0);
-    gboolean begun = LogLine_number(text, " events=", 0) > 0;
-    tally->done++;
+    gboolean has_started = LogLine_number(text, " events=", 0) > 0;
+    counts->done++;
     if (first_us > 0) {
-        Histogram_record(&tally->first, (guint64)first_us);
+        Histogram_record(&counts->first_event_times, (guint64)first_us);
     }
     if (LogLine_hasPair(text, " outcome=whole")) {
-        tally->whole++;
-        tally->late_first += LogLine_hasPair(text, " late=first") ? 1 : 0;
-        tally->late_pause += LogLine_hasPair(text, " late=pause") ? 1 : 0;
+        counts->complete++;
+        counts->late_first += LogLine_hasPair(text, " late=first") ? 1 : 0;
+        counts->late_pause += LogLine_hasPair(text, " late=pause") ? 1 : 0;
     }
-    else if (begun) {
-        tally->cut++;
+    else if (has_started) {
+        counts->cut++;
     }
     else {
-        tally->refused++;
+        counts->refused++;
     }
 }
 
@@ -95,10 +96,11 @@
 {
     g_autofree char *request = LogLine_value(text, " request=");
     const char *kind =
-        request ? g_hash_table_lookup(this->placed, request) : NULL;
+        request ? g_hash_table_lookup(this->supply_of, request) : NULL;
     gint64 first_us = LogLine_number(text, " first_us=", 0);
     if (kind && first_us > 0) {
-        Histogram_record(&supply_of(this, kind)->first, (guint64)first_us);
+        Histogram_record(&find_or_create_supply(this, kind)->first_event_times,
+                         (guint64)first_us);
     }
 }
 
@@ -117,10 +119,11 @@
         g_strdup_printf("%" G_GINT64_FORMAT, started_us / G_USEC_PER_SEC);
     const char *name = route ? route : service ? service : "none";
     this->done++;
-    note_outcome(tally_of(this->routes, name), text);
-    note_outcome(tally_of(this->seconds, second), text);
-    note_outcome(tally_of(this->upstreams, upstream ? upstream : "none"),
-                 text);
+    note_outcome(find_or_create_counts(this->routes, name), text);
+    note_outcome(find_or_create_counts(this->seconds, second), text);
+    note_outcome(
+        find_or_create_counts(this->upstreams, upstream ? upstream : "none"),
+        text);
     note_supply(this, text);
 }
 
@@ -134,15 +137,15 @@
         g_free(kind);
         return;
     }
-    SupplyTally_t *tally = supply_of(this, kind);
-    tally->placed++;
-    Histogram_record(&tally->move,
+    SupplyCounts_t *counts = find_or_create_supply(this, kind);
+    counts->placed++;
+    Histogram_record(&counts->move_times,
                      (guint64)MAX(LogLine_number(text, " move_us=", 0), 0));
-    g_hash_table_replace(this->placed, request, kind);
+    g_hash_table_replace(this->supply_of, request, kind);
 }
 
 static void
-take_line(void *owner, const char *text)
+process_line(void *owner, const char *text)
 {
     Report_t *this = owner;
     if (LogLine_hasPair(text, " event=request_done")) {
@@ -171,7 +174,7 @@
     return g_list_sort(g_hash_table_get_keys(table), (GCompareFunc)strcmp);
 }
 
-/* gnuplot tells blocks apart by two empty lines. */
+/* gnuplot requires two empty lines between data blocks. */
 static void
 write_heading(GString *out, const char *name, const char *columns)
 {
@@ -180,19 +183,20 @@
 }
 
 static void
-write_tallies(GString *out, const char *name, GHashTable *table)
+write_request_counts(GString *out, const char *name, GHashTable *table)
 {
     g_autoptr(GList) keys = sorted_keys(table);
     write_heading(out, name,
                   "name requests whole late_first late_pause refused cut "
                   "first_p50_ms first_p99_ms");
     for (GList *at = keys; at; at = at->next) {
-        const Tally_t *tally = g_hash_table_lookup(table, at->data);
+        const RequestCounts_t *counts = g_hash_table_lookup(table, at->data);
         g_string_append_printf(
             out, "%s %u %u %u %u %u %u %.1f %.1f\n", (const char *)at->data,
-            tally->done, tally->whole, tally->late_first, tally->late_pause,
-            tally->refused, tally->cut, quantile_ms(&tally->first, 0.5),
-            quantile_ms(&tally->first, 0.99));
+            counts->done, counts->complete, counts->late_first,
+            counts->late_pause, counts->refused, counts->cut,
+            quantile_ms(&counts->first_event_times, 0.5),
+            quantile_ms(&counts->first_event_times, 0.99));
     }
 }
 
@@ -216,12 +220,13 @@
     write_heading(out, "supplies",
                   "kind placed move_p50_ms first_p50_ms first_p99_ms");
     for (GList *at = keys; at; at = at->next) {
-        const SupplyTally_t *tally =
+        const SupplyCounts_t *counts =
             g_hash_table_lookup(this->supplies, at->data);
-        g_string_append_printf(
-            out, "%s %u %.1f %.1f %.1f\n", (const char *)at->data,
-            tally->placed, quantile_ms(&tally->move, 0.5),
-            quantile_ms(&tally->first, 0.5), quantile_ms(&tally->first, 0.99));
+        g_string_append_printf(out, "%s %u %.1f %.1f %.1f\n",
+                               (const char *)at->data, counts->placed,
+                               quantile_ms(&counts->move_times, 0.5),
+                               quantile_ms(&counts->first_event_times, 0.5),
+                               quantile_ms(&counts->first_event_times, 0.99));
     }
 }
 
@@ -229,9 +234,9 @@
 write_report(const Report_t *this)
 {
     GString *out = g_string_new(NULL);
-    write_tallies(out, "routes", this->routes);
-    write_tallies(out, "seconds", this->seconds);
-    write_tallies(out, "upstreams", this->upstreams);
+    write_request_counts(out, "routes", this->routes);
+    write_request_counts(out, "seconds", this->seconds);
+    write_request_counts(out, "upstreams", this->upstreams);
     write_counts(out, "refusals", "reason run count", this->refusals);
     write_counts(out, "failures", "upstream reason count", this->failures);
     write_supplies(out, this);
@@ -245,7 +250,7 @@
 }
 
 static void
-clear(Report_t *this)
+destroy_tables(Report_t *this)
 {
     g_hash_table_destroy(this->routes);
     g_hash_table_destroy(this->seconds);
@@ -253,7 +258,7 @@
     g_hash_table_destroy(this->refusals);
     g_hash_table_destroy(this->failures);
     g_hash_table_destroy(this->supplies);
-    g_hash_table_destroy(this->placed);
+    g_hash_table_destroy(this->supply_of);
 }
 
 GString *
@@ -267,17 +272,17 @@
         .refusals = create_table(NULL),
         .failures = create_table(NULL),
         .supplies = create_table(g_free),
-        .placed = create_table(g_free),
+        .supply_of = create_table(g_free),
     };
-    if (LogLine_eachOf(paths, take_line, &this, error)) {
+    if (LogLine_forEach(paths, process_line, &this, error)) {
         if (this.done > 0) {
             out = write_report(&this);
         }
         else {
             g_set_error_literal(error, WT_ERROR, WT_ERROR_BAD_BODY,
-                                "no line tells of a request");
+                                "no log line describes a request");
         }
     }
-    clear(&this);
+    destroy_tables(&this);
     return out;
 }
--- a/src/LogReport.h
+++ b/src/LogReport.h
@@ -3,19 +3,19 @@
 /**
  * DOC: LogReport
  *
- * What became of all requests, from saved logs of any number of routers:
- * whole, late, refused and cut by route, by second and by upstream, why, and
- * where the shared parts of prompts came from. The tables are blocks of
- * columns, each under a line with its name, which gnuplot reads as they are
- * (tools/report.gnuplot).
+ * Summary of all requests in saved logs of one or more routers. Tables count
+ * complete, late, refused and cut requests by route, second and upstream, the
+ * reasons of refusals and failed attempts, and how upstreams obtained the
+ * shared prefixes of prompts. Each table is a block of columns under a line
+ * with its name; gnuplot reads them without conversion (tools/report.gnuplot).
  */
 #include <glib.h>
 
 /**
- * LogReport_write() - read the logs and write the tables
- * @paths: files with log lines, ended by NULL
- * @error: WT_ERROR_FILE_UNREADABLE, or WT_ERROR_BAD_BODY where no line tells
- *     of a request
+ * LogReport_write() - read the logs and format the tables
+ * @paths: log files, terminated by NULL
+ * @error: WT_ERROR_FILE_UNREADABLE, or WT_ERROR_BAD_BODY if no line describes
+ *     a request
  *
  * Return: the tables, or NULL; freed by the caller
  */
--- a/src/OperatorApi.c
+++ b/src/OperatorApi.c
@@ -12,8 +12,8 @@
 #define KEY_HASH_BYTES 32
 #define STATUS_UNAUTHORIZED 401
 
-/* The answer to a call that reached no method. Every response message has
- * the error as its field 1, so that any of them can be read from this. */
+/* Answers a call that reached no method. Field 1 of every response message is
+ * the error, so a client can decode this answer as any response type. */
 static void
 send_error(struct evhttp_request *request, int status, Wt__ErrorCode code,
            const char *message)
@@ -38,7 +38,7 @@
     struct evhttp_request *request = data;
     if (!message) {
         send_error(request, HTTP_BADREQUEST, WT__ERROR_CODE__ERROR_BAD_REQUEST,
-                   "the message can't be read");
+                   "the request message cannot be decoded");
         return;
     }
     gsize size = protobuf_c_message_get_packed_size(message);
@@ -53,7 +53,7 @@
 }
 
 static gboolean
-may_operate(const Context_t *context, struct evhttp_request *request)
+is_authorized(const Context_t *context, struct evhttp_request *request)
 {
     const char *header = evhttp_find_header(
         evhttp_request_get_input_headers(request), "Authorization");
@@ -64,9 +64,9 @@
     guint8 hash[KEY_HASH_BYTES];
     crypto_generichash(hash, sizeof(hash), (const guint8 *)key, strlen(key),
                        NULL, 0);
-    const void *wanted =
+    const void *expected =
         g_bytes_get_data(context->settings->keys.operator_hash, NULL);
-    return sodium_memcmp(hash, wanted, sizeof(hash)) == 0;
+    return sodium_memcmp(hash, expected, sizeof(hash)) == 0;
 }
 
 static ProtobufCService *
@@ -83,7 +83,7 @@
 }
 
 static guint
-method_index(const ProtobufCServiceDescriptor *service, const char *name)
+find_method_index(const ProtobufCServiceDescriptor *service, const char *name)
 {
     guint i = 0;
     while (i < service->n_methods &&
@@ -104,7 +104,7 @@
         service->descriptor->methods[method].input, NULL, length, bytes);
     if (!message) {
         send_error(request, HTTP_BADREQUEST, WT__ERROR_CODE__ERROR_BAD_REQUEST,
-                   "the message can't be read");
+                   "the request message cannot be decoded");
         return;
     }
     service->invoke(service, method, message, send_message, request);
@@ -112,12 +112,14 @@
 }
 
 static void
-dispatch(Context_t *context, struct evhttp_request *request, const char *path)
+call_method(Context_t *context, struct evhttp_request *request,
+            const char *path)
 {
     g_auto(GStrv) parts = g_strsplit(path + strlen(RPC_PATH), "/", 2);
     ProtobufCService *service =
         parts[0] && parts[1] ? find_service(context, parts[0]) : NULL;
-    guint method = service ? method_index(service->descriptor, parts[1]) : 0;
+    guint method =
+        service ? find_method_index(service->descriptor, parts[1]) : 0;
     if (!service || method == service->descriptor->n_methods) {
         send_error(request, HTTP_NOTFOUND,
                    WT__ERROR_CODE__ERROR_UNKNOWN_METHOD,
@@ -161,12 +163,12 @@
         send_error(request, HTTP_NOTFOUND,
                    WT__ERROR_CODE__ERROR_UNKNOWN_METHOD, "no such path");
     }
-    else if (!may_operate(context, request)) {
+    else if (!is_authorized(context, request)) {
         send_error(request, STATUS_UNAUTHORIZED,
                    WT__ERROR_CODE__ERROR_UNAUTHENTICATED,
                    "not an operator's key");
     }
     else {
-        dispatch(context, request, path);
+        call_method(context, request, path);
     }
 }
--- a/src/OperatorApi.h
+++ b/src/OperatorApi.h
@@ -3,15 +3,15 @@
 /**
  * DOC: OperatorApi
  *
- * The HTTP interface of operators: it checks their key, finds the method of
- * proto/operator.proto that is called and hands the message on to
- * OperatorCommands.h or OperatorQueries.h. It serves /metrics as well.
+ * HTTP interface for operators. It checks the operator key, looks up the
+ * method of proto/operator.proto and passes the message to OperatorCommands.h
+ * or OperatorQueries.h. It also serves /metrics, without a key.
  */
 #include <event2/http.h>
 
 #include "Context.h"
 
-/** OperatorApi_handle() - an evhttp callback; @data is the Context_t */
+/** OperatorApi_handle() - evhttp callback; @data is the Context_t */
 void OperatorApi_handle(struct evhttp_request *request, void *data);
 
 #endif
--- a/src/OperatorClient.c
+++ b/src/OperatorClient.c
@@ -14,7 +14,7 @@
     struct event_base *base;
     GBytes *body;
     GError *error;
-} Wait_t;
+} PendingCall_t;
 
 OperatorClient_t *
 OperatorClient_create(const GArray *routers, const char *key,
@@ -40,7 +40,7 @@
 }
 
 guint
-OperatorClient_routers(const OperatorClient_t *this)
+OperatorClient_countRouters(const OperatorClient_t *this)
 {
     return this->routers->len;
 }
@@ -48,14 +48,14 @@
 static void
 on_answer(const HttpAnswer_t *answer, const GError *error, void *data)
 {
-    Wait_t *wait = data;
+    PendingCall_t *call = data;
     if (answer) {
-        wait->body = g_bytes_new(answer->body, answer->length);
+        call->body = g_bytes_new(answer->body, answer->length);
     }
     else {
-        wait->error = g_error_copy(error);
+        call->error = g_error_copy(error);
     }
-    event_base_loopbreak(wait->base);
+    event_base_loopbreak(call->base);
 }
 
 static GBytes *
@@ -75,16 +75,17 @@
         .body = body,
         .timeout_ms = this->timeout_ms,
     };
-    Wait_t wait = {.base = this->base};
-    HttpCall_start(this->base, &spec, on_answer, &wait);
+    PendingCall_t call = {.base = this->base};
+    HttpCall_start(this->base, &spec, on_answer, &call);
     event_base_dispatch(this->base);
-    if (wait.error) {
-        g_propagate_error(error, wait.error);
+    if (call.error) {
+        g_propagate_error(error, call.error);
     }
-    return wait.body;
+    return call.body;
 }
 
-/* Goes on to the next router only where nothing was sent to the one before. */
+/* Tries the next router only if the connection failed, so that no request is
+ * sent to two routers. */
 static GBytes *
 post_to_any(OperatorClient_t *this, const char *path, GBytes *body,
             GError **error)
@@ -133,7 +134,7 @@
     g_bytes_unref(answer);
     if (!message) {
         g_set_error_literal(error, WT_ERROR, WT_ERROR_BAD_ANSWER,
-                            "the router's answer can't be read");
+                            "the router's answer cannot be decoded");
     }
     return message;
 }
--- a/src/OperatorClient.h
+++ b/src/OperatorClient.h
@@ -3,8 +3,8 @@
 /**
  * DOC: OperatorClient
  *
- * The command line's side of the operators' interface: one call at a time,
- * waited for.
+ * Client of the operator interface for the command line. Calls are
+ * synchronous.
  */
 #include <glib.h>
 #include <protobuf-c/protobuf-c.h>
@@ -17,10 +17,10 @@
 typedef struct OperatorClient OperatorClient_t;
 
 /**
- * OperatorClient_create() - a client of some routers
+ * OperatorClient_create() - create a client of one or more routers
  * @routers: Address_t, copied
- * @key: the operators' key
- * @timeout_ms: for one call
+ * @key: the operator key
+ * @timeout_ms: limit of one call
  */
 OperatorClient_t *OperatorClient_create(const GArray *routers, const char *key,
                                         gint64 timeout_ms);
@@ -28,18 +28,18 @@
 /** OperatorClient_destroy() - free it */
 void OperatorClient_destroy(OperatorClient_t *this);
 
-/** OperatorClient_routers() - how many routers it has */
-guint OperatorClient_routers(const OperatorClient_t *this);
+/** OperatorClient_countRouters() - number of routers */
+guint OperatorClient_countRouters(const OperatorClient_t *this);
 
 /**
  * OperatorClient_call() - call a method
- * @router: which router, or -1 for the first that is reached
+ * @router: index of the router, or -1 for the first that is reachable
  * @method: "SERVICE/METHOD"
- * @request: the message
- * @response: descriptor of the answer
+ * @request: request message
+ * @response: descriptor of the response message
  * @error: WT_ERROR_CONNECT, _TIMEOUT, _CUT or _BAD_ANSWER
  *
- * Return: the answer, freed by protobuf_c_message_free_unpacked(), or NULL
+ * Return: the response, freed by protobuf_c_message_free_unpacked(), or NULL
  */
 ProtobufCMessage *
 OperatorClient_call(OperatorClient_t *this, gint router, const char *method,
--- a/src/OperatorCommands.c
+++ b/src/OperatorCommands.c
@@ -19,15 +19,15 @@
 static const struct {
     Wt__ErrorCode code;
     const char *message;
-} ends[] = {
+} outcomes[] = {
     [COMMAND_TAKEN] = {WT__ERROR_CODE__ERROR_NONE, ""},
     [COMMAND_CONFLICT] = {WT__ERROR_CODE__ERROR_CONFLICT,
                           "another change came first"},
     [COMMAND_NOT_APPENDED] = {WT__ERROR_CODE__ERROR_LOG_UNAVAILABLE,
                               "the log was not reached; nothing was changed"},
     [COMMAND_UNKNOWN] = {WT__ERROR_CODE__ERROR_OUTCOME_UNKNOWN,
-                         "the change may have landed or may yet; ask "
-                         "CommandResult with the same command_id"},
+                         "the change may have been applied or may yet be; "
+                         "query CommandResult with the same command_id"},
     [COMMAND_LOG_WENT_BACK] = {WT__ERROR_CODE__ERROR_LOG_WENT_BACK,
                                "the log has lost records that are in force"},
 };
@@ -49,15 +49,16 @@
 }
 
 void
-OperatorCommands_answer(const Context_t *context, CommandEnd_t end,
-                        guint64 revision, Wt__Change **changes,
-                        gsize change_count, Wt__ApplyResponse_Closure closure,
-                        void *closure_data)
+OperatorCommands_sendOutcome(const Context_t *context, CommandEnd_t end,
+                             guint64 revision, Wt__Change **changes,
+                             gsize change_count,
+                             Wt__ApplyResponse_Closure closure,
+                             void *closure_data)
 {
     Wt__Error error = WT__ERROR__INIT;
     Wt__ApplyResponse response = WT__APPLY_RESPONSE__INIT;
-    error.code = ends[end].code;
-    error.message = (char *)ends[end].message;
+    error.code = outcomes[end].code;
+    error.message = (char *)outcomes[end].message;
     response.error = &error;
     response.revision = revision;
     g_autofree Wt__ChangeResult *results =
@@ -82,7 +83,7 @@
     Log_number("revision", (gint64)revision);
     Log_number("changes", (gint64)pending->record->n_changes);
     Log_end();
-    OperatorCommands_answer(
+    OperatorCommands_sendOutcome(
         pending->context, end, revision, pending->record->changes,
         pending->record->n_changes, pending->closure, pending->closure_data);
     wt__config_record__free_unpacked(pending->record, NULL);
@@ -115,7 +116,7 @@
 }
 
 static gboolean
-check(const Wt__ApplyRequest *input, GPtrArray *problems)
+check_request(const Wt__ApplyRequest *input, GPtrArray *problems)
 {
     gboolean id_fits = input->command_id.len >= COMMAND_ID_MIN &&
                        input->command_id.len <= COMMAND_ID_MAX;
@@ -147,26 +148,28 @@
     return g_bytes_new_take(bytes, size);
 }
 
-/* Fields that no version has are kept as they came, and protobuf-c writes one
- * of number 0 so that no router could read the record. */
+/* Refuses a command whose packed record cannot be decoded again. protobuf-c
+ * preserves unknown fields, but packs one of number 0 in a form that no router
+ * could decode. */
 static void
 refuse_record(GPtrArray *problems, Wt__ApplyResponse_Closure closure,
               void *closure_data)
 {
     Problems_add(problems, PROBLEM_SYNTAX, "-", 0, NULL, "changes",
-                 "a field that can't be kept");
+                 "contains a field that cannot be stored");
     answer_problems(problems, closure, closure_data);
 }
 
-/* @read is taken over. */
+/* Takes ownership of @decoded. */
 static void
-submit(const Wt__ApplyRequest *input, GBytes *record, Wt__ConfigRecord *read,
-       Wt__ApplyResponse_Closure closure, void *closure_data)
+submit_record(const Wt__ApplyRequest *input, GBytes *record,
+              Wt__ConfigRecord *decoded, Wt__ApplyResponse_Closure closure,
+              void *closure_data)
 {
     GBytes *id = g_bytes_new(input->command_id.data, input->command_id.len);
     PendingApply_t *pending = g_new0(PendingApply_t, 1);
     pending->context = the_context;
-    pending->record = read;
+    pending->record = decoded;
     pending->closure = closure;
     pending->closure_data = closure_data;
     ConfigLog_submit(the_context->config_log, id, record, on_command_done,
@@ -181,23 +184,23 @@
 {
     (void)service;
     g_autoptr(GPtrArray) problems = Problems_create();
-    if (!check(input, problems)) {
+    if (!check_request(input, problems)) {
         answer_problems(problems, closure, closure_data);
         return;
     }
     if (!the_context->config_log) {
-        /* A platform with routes keeps its configuration by itself. */
-        OperatorCommands_answer(the_context, COMMAND_NOT_APPENDED, 0,
-                                input->changes, input->n_changes, closure,
-                                closure_data);
+        /* A platform with routes stores the configuration itself. */
+        OperatorCommands_sendOutcome(the_context, COMMAND_NOT_APPENDED, 0,
+                                     input->changes, input->n_changes, closure,
+                                     closure_data);
         return;
     }
     g_autoptr(GBytes) record = pack_record(input);
     gsize size = 0;
     const guint8 *bytes = g_bytes_get_data(record, &size);
-    Wt__ConfigRecord *read = wt__config_record__unpack(NULL, size, bytes);
-    if (read) {
-        submit(input, record, read, closure, closure_data);
+    Wt__ConfigRecord *decoded = wt__config_record__unpack(NULL, size, bytes);
+    if (decoded) {
+        submit_record(input, record, decoded, closure, closure_data);
     }
     else {
         refuse_record(problems, closure, closure_data);
@@ -220,7 +223,7 @@
     }
     else if (!CrashGuard_release(the_context->crashes, &digest)) {
         error.code = WT__ERROR_CODE__ERROR_NOT_FOUND;
-        error.message = (char *)"nothing counts against this request";
+        error.message = (char *)"no crash is recorded for this request";
         response.error = &error;
     }
     response.digest = input->digest;
--- a/src/OperatorCommands.h
+++ b/src/OperatorCommands.h
@@ -3,8 +3,7 @@
 /**
  * DOC: OperatorCommands
  *
- * The service OperatorCommand: everything by which operators change
- * something.
+ * The RPC service OperatorCommand: all calls that change state.
  */
 #include <protobuf-c/protobuf-c.h>
 
@@ -12,20 +11,20 @@
 #include "operator.pb-c.h"
 
 /**
- * OperatorCommands_service() - the service for a router
+ * OperatorCommands_service() - get the service of a router
  *
- * Return: static; the same for each call
+ * Return: a static object, the same on each call
  */
 ProtobufCService *OperatorCommands_service(Context_t *context);
 
 /**
- * OperatorCommands_answer() - tell the outcome of a command
- * @changes: of the command; may be empty where they are not known
+ * OperatorCommands_sendOutcome() - send the outcome of a command
+ * @changes: changes of the command; empty if they are not known
  */
-void OperatorCommands_answer(const Context_t *context, CommandEnd_t end,
-                             guint64 revision, Wt__Change **changes,
-                             gsize change_count,
-                             Wt__ApplyResponse_Closure closure,
-                             void *closure_data);
+void OperatorCommands_sendOutcome(const Context_t *context, CommandEnd_t end,
+                                  guint64 revision, Wt__Change **changes,
+                                  gsize change_count,
+                                  Wt__ApplyResponse_Closure closure,
+                                  void *closure_data);
 
 #endif
--- a/src/OperatorQueries.c
+++ b/src/OperatorQueries.c
@@ -8,7 +8,8 @@
 
 static Context_t *the_context;
 
-/* Everything that an answer points to and that is freed after it. */
+/* An arena owns the memory that a response points to; it is freed after the
+ * response was sent. */
 static GPtrArray *
 arena_create(void)
 {
@@ -24,7 +25,7 @@
 }
 
 static Wt__Error *
-error_of(GPtrArray *arena, Wt__ErrorCode code, const char *message)
+create_error(GPtrArray *arena, Wt__ErrorCode code, const char *message)
 {
     Wt__Error *error = arena_alloc(arena, sizeof(*error));
     wt__error__init(error);
@@ -47,12 +48,13 @@
     if (outcome) {
         end = outcome->taken ? COMMAND_TAKEN : COMMAND_CONFLICT;
     }
-    OperatorCommands_answer(the_context, end, outcome ? outcome->revision : 0,
-                            NULL, 0, closure, closure_data);
+    OperatorCommands_sendOutcome(the_context, end,
+                                 outcome ? outcome->revision : 0, NULL, 0,
+                                 closure, closure_data);
 }
 
 static Wt__DeclaredObject *
-message_of_object(GPtrArray *arena, const Object_t *object)
+create_object(GPtrArray *arena, const Object_t *object)
 {
     guint count = g_hash_table_size(object->fields);
     Wt__DeclaredObject *message = arena_alloc(arena, sizeof(*message));
@@ -80,8 +82,8 @@
                 const Wt__GetRequest *input)
 {
     for (int kind = 0; kind < OBJECT_KIND_COUNT; kind++) {
-        const char *word = Declarations_kindName((ObjectKind_t)kind);
-        if (*input->kind && g_strcmp0(word, input->kind) != 0) {
+        const char *kind_name = Declarations_kindName((ObjectKind_t)kind);
+        if (*input->kind && g_strcmp0(kind_name, input->kind) != 0) {
             continue;
         }
         g_autoptr(GPtrArray) list =
@@ -90,7 +92,7 @@
             const Object_t *object = g_ptr_array_index(list, i);
             if (!*input->name ||
                 g_strcmp0(object->name->str, input->name) == 0) {
-                g_ptr_array_add(messages, message_of_object(arena, object));
+                g_ptr_array_add(messages, create_object(arena, object));
             }
         }
     }
@@ -109,14 +111,14 @@
     response.n_objects = messages->len;
     response.objects = (Wt__DeclaredObject **)messages->pdata;
     if (messages->len == 0 && *input->name) {
-        response.error =
-            error_of(arena, WT__ERROR_CODE__ERROR_NOT_FOUND, "no such object");
+        response.error = create_error(arena, WT__ERROR_CODE__ERROR_NOT_FOUND,
+                                      "no such object");
     }
     closure(&response, closure_data);
 }
 
 static Wt__UpstreamStatus *
-message_of_upstream(GPtrArray *arena, const Upstream_t *upstream)
+create_upstream_status(GPtrArray *arena, const Upstream_t *upstream)
 {
     Wt__UpstreamStatus *message = arena_alloc(arena, sizeof(*message));
     wt__upstream_status__init(message);
@@ -135,7 +137,7 @@
 }
 
 static Wt__PeerStatus *
-message_of_member(GPtrArray *arena, const Member_t *member)
+create_peer_status(GPtrArray *arena, const Member_t *member)
 {
     Wt__PeerStatus *message = arena_alloc(arena, sizeof(*message));
     wt__peer_status__init(message);
@@ -167,7 +169,7 @@
     router->digest.data = digest;
     router->digest.len = DIGEST_BYTES;
     router->ready = is_usable() && !the_context->stopping;
-    /* A platform with routes has no log of declarations. */
+    /* A platform with routes has no declarations log. */
     router->log_reachable = the_context->config_log &&
                             ConfigLog_isReachable(the_context->config_log);
     router->open_requests = the_context->open_requests;
@@ -187,14 +189,14 @@
     fill_router(&router, digest);
     const GPtrArray *all = UpstreamSet_all(the_context->upstreams);
     for (guint i = 0; i < all->len; i++) {
-        g_ptr_array_add(messages,
-                        message_of_upstream(arena, g_ptr_array_index(all, i)));
+        g_ptr_array_add(messages, create_upstream_status(
+                                      arena, g_ptr_array_index(all, i)));
     }
     g_autoptr(GPtrArray) peers = g_ptr_array_new();
     const GPtrArray *members = Membership_members(the_context->membership);
     for (guint i = 0; i < members->len; i++) {
         g_ptr_array_add(
-            peers, message_of_member(arena, g_ptr_array_index(members, i)));
+            peers, create_peer_status(arena, g_ptr_array_index(members, i)));
     }
     Wt__StatusResponse response = WT__STATUS_RESPONSE__INIT;
     response.n_peers = peers->len;
@@ -240,7 +242,7 @@
 }
 
 static Wt__AttemptTrace *
-message_of_attempt(GPtrArray *arena, const TraceAttempt_t *attempt)
+create_attempt_trace(GPtrArray *arena, const TraceAttempt_t *attempt)
 {
     Wt__AttemptTrace *message = arena_alloc(arena, sizeof(*message));
     wt__attempt_trace__init(message);
@@ -268,14 +270,14 @@
     const Trace_t *trace = Traces_find(the_context->traces, input->request_id);
     if (!trace) {
         response.error =
-            error_of(arena, WT__ERROR_CODE__ERROR_NOT_FOUND,
-                     "this router knows no ended request of this id");
+            create_error(arena, WT__ERROR_CODE__ERROR_NOT_FOUND,
+                         "this router has no finished request with this id");
         closure(&response, closure_data);
         return;
     }
     for (guint i = 0; i < trace->attempt_count; i++) {
         g_ptr_array_add(messages,
-                        message_of_attempt(arena, &trace->attempts[i]));
+                        create_attempt_trace(arena, &trace->attempts[i]));
     }
     response.request_id = trace->request->str;
     response.customer = trace->customer->str;
@@ -292,7 +294,7 @@
 } CrashList_t;
 
 static void
-collect_crashed(CrashEntry_t *entry, void *data)
+collect_crash(CrashEntry_t *entry, void *data)
 {
     CrashList_t *list = data;
     guint crashes = CrashEntry_countValid(entry);
@@ -329,7 +331,7 @@
     g_autoptr(GPtrArray) arena = arena_create();
     g_autoptr(GPtrArray) messages = g_ptr_array_new();
     CrashList_t list = {arena, messages};
-    CrashGuard_forEach(the_context->crashes, collect_crashed, &list);
+    CrashGuard_forEach(the_context->crashes, collect_crash, &list);
     g_ptr_array_sort(messages, compare_crashed);
     Wt__CrashesResponse response = WT__CRASHES_RESPONSE__INIT;
     response.n_requests = messages->len;
--- a/src/OperatorQueries.h
+++ b/src/OperatorQueries.h
@@ -3,17 +3,16 @@
 /**
  * DOC: OperatorQueries
  *
- * The service OperatorQuery: everything that operators can ask. No query
- * changes anything.
+ * The RPC service OperatorQuery: read-only calls.
  */
 #include <protobuf-c/protobuf-c.h>
 
 #include "Context.h"
 
 /**
- * OperatorQueries_service() - the service for a router
+ * OperatorQueries_service() - get the service of a router
  *
- * Return: static; the same for each call
+ * Return: a static object, the same on each call
  */
 ProtobufCService *OperatorQueries_service(Context_t *context);
 
--- a/src/OrderHttp.c
+++ b/src/OrderHttp.c
@@ -14,11 +14,11 @@
 read_state(const HttpAnswer_t *answer, EngineState_t *out)
 {
     json_t *body = Json_parse(answer->body, answer->length, NULL);
-    const char *weights = Json_text(body, "weights");
-    const char *loading = Json_text(body, "loading");
+    const char *weights = Json_getString(body, "weights");
+    const char *loading = Json_getString(body, "loading");
     gboolean is_valid = weights != NULL;
     if (is_valid) {
-        out->incarnation = (guint64)Json_integer(body, "incarnation", 0);
+        out->incarnation = (guint64)Json_getInteger(body, "incarnation", 0);
         out->loading = loading && *loading != '\0';
         g_string_assign(out->weights, weights);
     }
--- a/src/Output.c
+++ b/src/Output.c
@@ -29,26 +29,26 @@
 }
 
 static json_t *
-json_of_value(const ProtobufCFieldDescriptor *field, const void *place)
+json_of_value(const ProtobufCFieldDescriptor *field, const void *field_value)
 {
     switch (field->type) {
     case PROTOBUF_C_TYPE_UINT32:
-        return json_integer(*(const guint32 *)place);
+        return json_integer(*(const guint32 *)field_value);
     case PROTOBUF_C_TYPE_INT64:
     case PROTOBUF_C_TYPE_UINT64:
-        return json_integer(*(const json_int_t *)place);
+        return json_integer(*(const json_int_t *)field_value);
     case PROTOBUF_C_TYPE_DOUBLE:
-        return json_real(*(const double *)place);
+        return json_real(*(const double *)field_value);
     case PROTOBUF_C_TYPE_BOOL:
-        return json_boolean(*(const protobuf_c_boolean *)place);
+        return json_boolean(*(const protobuf_c_boolean *)field_value);
     case PROTOBUF_C_TYPE_ENUM:
-        return json_of_enum(field, *(const int *)place);
+        return json_of_enum(field, *(const int *)field_value);
     case PROTOBUF_C_TYPE_STRING:
-        return json_string(*(char *const *)place);
+        return json_string(*(char *const *)field_value);
     case PROTOBUF_C_TYPE_BYTES:
-        return json_of_bytes(place);
+        return json_of_bytes(field_value);
     case PROTOBUF_C_TYPE_MESSAGE:
-        return json_of_message(*(ProtobufCMessage *const *)place);
+        return json_of_message(*(ProtobufCMessage *const *)field_value);
     default:
         g_assert_not_reached();
     }
@@ -74,13 +74,13 @@
 json_of_field(const ProtobufCMessage *message,
               const ProtobufCFieldDescriptor *field)
 {
-    const char *place = (const char *)message + field->offset;
+    const char *field_value = (const char *)message + field->offset;
     if (field->label != PROTOBUF_C_LABEL_REPEATED) {
         gboolean is_unset = field->type == PROTOBUF_C_TYPE_MESSAGE &&
-                            *(void *const *)place == NULL;
-        return is_unset ? NULL : json_of_value(field, place);
+                            *(void *const *)field_value == NULL;
+        return is_unset ? NULL : json_of_value(field, field_value);
     }
-    const char *values = *(char *const *)place;
+    const char *values = *(char *const *)field_value;
     size_t count =
         *(const size_t *)((const char *)message + field->quantifier_offset);
     json_t *list = json_array();
@@ -129,7 +129,7 @@
     }
 }
 
-/* One line for the scalars, then one for each member of each list. */
+/* Prints one line with all scalars, then one line per list element. */
 static void
 print_text(json_t *root)
 {
--- a/src/Output.h
+++ b/src/Output.h
@@ -3,17 +3,17 @@
 /**
  * DOC: Output
  *
- * How the command line shows messages: as text for people or as JSON for
- * scripts. Both follow the message's own descriptor, so that a new field
- * shows up without more code.
+ * Prints protobuf messages on the command line, as text for people or as JSON
+ * for scripts. Both are generated from the message descriptor, so that a new
+ * field needs no code here.
  */
 #include <glib.h>
 #include <protobuf-c/protobuf-c.h>
 
-/** enum OutputForm_t - the words of --output */
+/** enum OutputForm_t - values of --output */
 typedef enum { OUTPUT_TEXT, OUTPUT_JSON } OutputForm_t;
 
-/** Output_print() - write a message to standard output */
+/** Output_print() - print a message to standard output */
 void Output_print(const ProtobufCMessage *message, OutputForm_t form);
 
 #endif
--- a/src/Problem.h
+++ b/src/Problem.h
@@ -3,13 +3,13 @@
 /**
  * DOC: Problem
  *
- * What is wrong with a settings or declarations file, each fault with its
- * place. Checks go on after a fault, so that one run shows them all.
+ * Errors in settings and declarations files, with their locations. Checks
+ * continue after an error, so that one run reports all of them.
  */
 #include <glib.h>
 
 /**
- * enum ProblemKind_t - the kinds of faults
+ * enum ProblemKind_t - kinds of problems; Problem_kindName() has their names
  */
 typedef enum {
     PROBLEM_UNREADABLE,
@@ -27,13 +27,13 @@
 } ProblemKind_t;
 
 /**
- * struct Problem_t - one fault
- * @kind: its type
- * @file: path as it was given
- * @line: counted from 1, 0 where the fault has no line
+ * struct Problem_t - one error
+ * @kind: kind of the problem
+ * @file: path as given by the user
+ * @line: counted from 1, 0 if the problem has no line
  * @section: name of the section, may be empty
  * @key: name of the key, may be empty
- * @detail: the value at fault or what was expected
+ * @detail: the invalid value or what was expected
  */
 typedef struct {
     ProblemKind_t kind;
@@ -45,12 +45,12 @@
 } Problem_t;
 
 /**
- * Problems_create() - an empty list of Problem_t that frees its members
+ * Problems_create() - create an empty array that owns its Problem_t elements
  */
 GPtrArray *Problems_create(void);
 
 /**
- * Problems_add() - append one; all texts are copied, NULL counts as empty
+ * Problems_add() - append a problem; strings are copied, NULL becomes empty
  */
 void Problems_add(GPtrArray *problems, ProblemKind_t kind, const char *file,
                   guint line, const char *section, const char *key,
@@ -62,7 +62,7 @@
 const char *Problem_kindName(ProblemKind_t kind);
 
 /**
- * Problem_format() - "file:line: [section] key: kind: detail"
+ * Problem_format() - format as "file:line: [section] key: kind: detail"
  *
  * Return: a new string
  */
--- a/src/Prompt.c
+++ b/src/Prompt.c
@@ -30,7 +30,7 @@
 static gboolean
 read_model(Prompt_t *this, GError **error)
 {
-    const char *name = Json_text(this->body, "model");
+    const char *name = Json_getString(this->body, "model");
     if (!name || *name == '\0') {
         return fail(error, "model", "the name of a model");
     }
@@ -144,7 +144,7 @@
     guint64 hash = 0;
     for (size_t i = 0; i < count; i++) {
         const json_t *message = json_array_get(messages, i);
-        const char *role = Json_text(message, "role");
+        const char *role = Json_getString(message, "role");
         const json_t *content = json_object_get(message, "content");
         if (!role || !json_is_string(content)) {
             return fail(error, "messages", "a text each for role and content");
--- a/src/ResumeToken.c
+++ b/src/ResumeToken.c
@@ -68,7 +68,7 @@
 static void
 assign(GString *out, const json_t *body, const char *key)
 {
-    const char *text = Json_text(body, key);
+    const char *text = Json_getString(body, key);
     g_string_assign(out, text ? text : "");
 }
 
@@ -85,7 +85,7 @@
     assign(point->stream, body, "s");
     assign(point->request, body, "r");
     assign(point->model, body, "m");
-    point->incarnation = (guint64)Json_integer(body, "i", 0);
+    point->incarnation = (guint64)Json_getInteger(body, "i", 0);
     point->offset = offset;
     json_decref(body);
     return point;
--- a/src/Trace.c
+++ b/src/Trace.c
@@ -60,11 +60,11 @@
 }
 
 void
-Traces_keep(Traces_t *this, Trace_t *trace)
+Traces_add(Traces_t *this, Trace_t *trace)
 {
     g_queue_push_tail(&this->order, trace);
     g_hash_table_replace(this->by_request, trace->request->str, trace);
-    if (g_queue_get_length(&this->order) <= TRACES_KEPT) {
+    if (g_queue_get_length(&this->order) <= TRACES_MAX) {
         return;
     }
     Trace_t *oldest = g_queue_pop_head(&this->order);
--- a/src/Trace.h
+++ b/src/Trace.h
@@ -3,18 +3,19 @@
 /**
  * DOC: Trace
  *
- * What became of each recent request and why it went where it did, for the
- * operators' question "explain". Old ones give way to new ones.
+ * Attempts and outcomes of recent requests, for the operator query "explain".
+ * The oldest trace is dropped when there are more than TRACES_MAX.
  */
 #include <glib.h>
 
-/** How many requests are remembered */
-#define TRACES_KEPT 2048
-/** Attempts of one request that are remembered */
+/** Traces that are stored */
+#define TRACES_MAX 2048
+/** Attempts that are stored per request */
 #define TRACE_ATTEMPTS_MAX 8
 
 /**
- * struct TraceAttempt_t - one attempt; times since the request's start
+ * struct TraceAttempt_t - one attempt; times are relative to the start of the
+ * request
  */
 typedef struct {
     GString *upstream;
@@ -29,7 +30,7 @@
 } TraceAttempt_t;
 
 /**
- * struct Trace_t - one request
+ * struct Trace_t - trace of one request
  */
 typedef struct {
     GString *request;
@@ -43,33 +44,35 @@
 /** struct Traces_t - opaque */
 typedef struct Traces Traces_t;
 
-/** Traces_create() - remembers nothing yet */
+/** Traces_create() - create an empty set */
 Traces_t *Traces_create(void);
 
-/** Traces_destroy() - free all */
+/** Traces_destroy() - free the set and its traces */
 void Traces_destroy(Traces_t *this);
 
 /**
  * Trace_create() - start the trace of a request
- * @customer: its name
+ * @request: request id
+ * @customer: name of the customer
  * @target: model or service
  */
 Trace_t *Trace_create(const char *request, const char *customer,
                       const char *target);
 
 /**
- * Trace_addAttempt() - the next attempt
- * @reason: static text
+ * Trace_addAttempt() - add an attempt
+ * @reason: static string, not copied
  *
- * Return: the place to fill; the last one is used again where all are used
+ * Return: the entry to fill in; with TRACE_ATTEMPTS_MAX attempts, the last
+ * entry is overwritten
  */
 TraceAttempt_t *Trace_addAttempt(Trace_t *this, const char *upstream,
                                  const char *reason);
 
-/** Traces_keep() - remember an ended request; takes it over */
-void Traces_keep(Traces_t *this, Trace_t *trace);
+/** Traces_add() - store the trace of a finished request; takes ownership */
+void Traces_add(Traces_t *this, Trace_t *trace);
 
-/** Traces_find() - by the request's id, or NULL */
+/** Traces_find() - find a trace by request id, or NULL */
 const Trace_t *Traces_find(const Traces_t *this, const char *request);
 
 #endif
--- a/src/main.c
+++ b/src/main.c
@@ -1,15 +1,15 @@
 /**
  * DOC: main
  *
- * The program wheattiller; see CommandLine.h.
+ * Entry point of the program wheattiller; see CommandLine.h.
  */
 #include <sodium.h>
 
 #include "CommandLine.h"
 #include "Fleet.h"
 
-/* By the words of the setting [platform] form. */
-static const PlatformForm_t *const forms[] = {
+/* Indexed by the value of the setting "form" in section [platform]. */
+static const PlatformForm_t *const platform_forms[] = {
     [PLATFORM_NATIVE] = NULL,
     [PLATFORM_FLEET] = &Fleet_form,
 };
@@ -21,5 +21,5 @@
         fputs("wheattiller: libsodium can't start\n", stderr);
         return EXIT_INVALID;
     }
-    return (int)CommandLine_run(forms, argc, argv);
+    return (int)CommandLine_run(platform_forms, argc, argv);
 }
--- a/tests/fuzz/texts.c
+++ b/tests/fuzz/texts.c
@@ -182,7 +182,7 @@
     g_string_append_c(out, '}');
     json_t *body = Json_parse(out->str, out->len, NULL);
     g_assert_nonnull(body);
-    const char *read = Json_text(body, "t");
+    const char *read = Json_getString(body, "t");
     g_assert_nonnull(read);
     if (g_utf8_validate_len(text, length, NULL)) {
         g_assert_cmpuint(strlen(read), ==, length);
@@ -199,8 +199,8 @@
     json_t *body = Json_parse((const char *)data, size, &error);
     g_assert((body == NULL) == (error != NULL));
     if (body) {
-        Json_text(body, "t");
-        Json_integer(body, "n", 0);
+        Json_getString(body, "t");
+        Json_getInteger(body, "n", 0);
         char *text = json_dumps(body, JSON_COMPACT);
         json_t *again = Json_parse(text, strlen(text), NULL);
         g_assert(json_equal(body, again));
--- a/tests/test_Limits.c
+++ b/tests/test_Limits.c
@@ -217,9 +217,9 @@
     guint64 median = Histogram_quantile(&histogram, 0.5);
     guint64 p99 = Histogram_quantile(&histogram, 0.99);
     ck_assert_uint_ge(median, 50000);
-    ck_assert_uint_le(median, 50000 + 50000 / HISTOGRAM_STEPS);
+    ck_assert_uint_le(median, 50000 + 50000 / HISTOGRAM_SUB_BUCKETS);
     ck_assert_uint_ge(p99, 99000);
-    ck_assert_uint_le(p99, 99000 + 99000 / HISTOGRAM_STEPS);
+    ck_assert_uint_le(p99, 99000 + 99000 / HISTOGRAM_SUB_BUCKETS);
     Histogram_record(&histogram, G_MAXUINT64);
     ck_assert_uint_gt(Histogram_quantile(&histogram, 1.0), 100000);
 }
@@ -250,13 +250,13 @@
 START_TEST(traces_are_bounded)
 {
     Traces_t *traces = Traces_create();
-    for (guint i = 0; i < TRACES_KEPT + 1; i++) {
+    for (guint i = 0; i < TRACES_MAX + 1; i++) {
         g_autofree char *id = g_strdup_printf("r%u", i);
         Trace_t *trace = Trace_create(id, "c", "m");
         for (int k = 0; k < TRACE_ATTEMPTS_MAX + 2; k++) {
             Trace_addAttempt(trace, "e1", "hashed");
         }
-        Traces_keep(traces, trace);
+        Traces_add(traces, trace);
     }
     ck_assert_ptr_null(Traces_find(traces, "r0"));
     ck_assert_uint_eq(Traces_find(traces, "r1")->attempt_count,
--- a/tests/test_LogLine.c
+++ b/tests/test_LogLine.c
@@ -7,7 +7,7 @@
     "12.5 r2 <4>2026-01-01T00:00:10.100Z r2[9]: event=upstream_doubted "
     "upstream=u1 detail=\"no answer in time\" us=-12 odd=1x";
 
-START_TEST(a_stamp_is_read_behind_anything)
+START_TEST(timestamp_is_parsed_after_any_prefix)
 {
     gint64 stamp_us = 0;
     ck_assert(LogLine_readStamp(line, &stamp_us));
@@ -18,7 +18,7 @@
 }
 END_TEST
 
-START_TEST(pairs_end_at_a_blank_or_with_the_line)
+START_TEST(pair_ends_at_a_blank_or_at_end_of_line)
 {
     ck_assert(LogLine_hasPair(line, " upstream=u1"));
     ck_assert(!LogLine_hasPair(line, " upstream=u"));
@@ -26,7 +26,7 @@
 }
 END_TEST
 
-START_TEST(values_come_without_quotes_and_numbers_whole)
+START_TEST(values_are_unquoted_and_numbers_must_be_complete)
 {
     g_autofree char *detail = LogLine_value(line, " detail=");
     ck_assert_str_eq(detail, "no answer in time");
@@ -38,31 +38,29 @@
 END_TEST
 
 static void
-count(void *owner, const char *text)
+count_line(void *owner, const char *text)
 {
     (void)text;
     (*(guint *)owner)++;
 }
 
-START_TEST(a_file_that_cannot_be_read_is_a_typed_error)
+START_TEST(unreadable_file_is_a_typed_error)
 {
     g_autoptr(GError) error = NULL;
     char *paths[] = {(char *)"/nonexistent/log", NULL};
     guint lines = 0;
-    ck_assert(!LogLine_eachOf(paths, count, &lines, &error));
+    ck_assert(!LogLine_forEach(paths, count_line, &lines, &error));
     ck_assert(g_error_matches(error, WT_ERROR, WT_ERROR_FILE_UNREADABLE));
     ck_assert_uint_eq(lines, 0);
 }
 END_TEST
 
 /*
- * Symptom: a story named an upstream that had no part in a request. Sequence:
- * a caller's id of a request, or an error's text, held " upstream=u2" or a
- * quote; both are written in quotes. Cause: keys were looked for within
- * quotes, and a value ended at its first quote, escaped or not. Settled by:
- * quoted texts are passed over and given back as they were.
+ * A timeline listed an upstream that had not served the request. A request id
+ * or an error message contained " upstream=u2" or a quote; the parser searched
+ * for keys inside quoted values and ended a value at an escaped quote.
  */
-START_TEST(quoted_texts_hold_no_pairs_and_come_back_whole)
+START_TEST(quoted_values_contain_no_pairs_and_are_unescaped)
 {
     static const char quoted[] =
         "<4>2026-01-01T00:00:10.100Z r2[9]: event=x "
@@ -78,8 +76,8 @@
 }
 END_TEST
 
-TESTING_MAIN("LogLine", a_stamp_is_read_behind_anything,
-             pairs_end_at_a_blank_or_with_the_line,
-             values_come_without_quotes_and_numbers_whole,
-             a_file_that_cannot_be_read_is_a_typed_error,
-             quoted_texts_hold_no_pairs_and_come_back_whole)
+TESTING_MAIN("LogLine", timestamp_is_parsed_after_any_prefix,
+             pair_ends_at_a_blank_or_at_end_of_line,
+             values_are_unquoted_and_numbers_must_be_complete,
+             unreadable_file_is_a_typed_error,
+             quoted_values_contain_no_pairs_and_are_unescaped)
--- a/tests/test_LogReport.c
+++ b/tests/test_LogReport.c
@@ -36,7 +36,7 @@
 }
 
 static char *
-report_of(const char *text, GError **error)
+create_report(const char *text, GError **error)
 {
     g_autofree char *path = write_file(text);
     char *paths[] = {path, NULL};
@@ -51,9 +51,9 @@
     ck_assert_msg(strstr(report, text) != NULL, "%s not in\n%s", text, report);
 }
 
-START_TEST(requests_are_counted_by_what_became_of_them)
+START_TEST(requests_are_counted_by_outcome)
 {
-    g_autofree char *report = report_of(log_text, NULL);
+    g_autofree char *report = create_report(log_text, NULL);
     ck_assert_ptr_nonnull(report);
     assert_has(report, "\nplans 3 2 0 1 0 1 ");
     assert_has(report, "\nclaims 1 0 0 0 1 0 ");
@@ -63,31 +63,31 @@
 }
 END_TEST
 
-START_TEST(a_request_counts_in_the_second_in_which_it_came)
+START_TEST(request_counts_in_the_second_of_its_start)
 {
-    g_autofree char *report = report_of(log_text, NULL);
+    g_autofree char *report = create_report(log_text, NULL);
     assert_has(report, "\n1767225609 1 1 0 1 0 0 ");
     assert_has(report, "\n1767225610 3 1 0 0 1 1 ");
 }
 END_TEST
 
-START_TEST(a_supply_is_judged_by_the_first_token_that_came_of_it)
+START_TEST(supply_table_lists_placed_requests)
 {
-    g_autofree char *report = report_of(log_text, NULL);
+    g_autofree char *report = create_report(log_text, NULL);
     assert_has(report, "\n# supplies\n");
     assert_has(report, "\nstore 1 ");
 }
 END_TEST
 
-START_TEST(a_log_without_requests_is_a_typed_error)
+START_TEST(log_without_requests_is_a_typed_error)
 {
     g_autoptr(GError) error = NULL;
-    ck_assert_ptr_null(report_of("<6>x event=router_started\n", &error));
+    ck_assert_ptr_null(create_report("<6>x event=router_started\n", &error));
     ck_assert(g_error_matches(error, WT_ERROR, WT_ERROR_BAD_BODY));
 }
 END_TEST
 
-TESTING_MAIN("LogReport", requests_are_counted_by_what_became_of_them,
-             a_request_counts_in_the_second_in_which_it_came,
-             a_supply_is_judged_by_the_first_token_that_came_of_it,
-             a_log_without_requests_is_a_typed_error)
+TESTING_MAIN("LogReport", requests_are_counted_by_outcome,
+             request_counts_in_the_second_of_its_start,
+             supply_table_lists_placed_requests,
+             log_without_requests_is_a_typed_error)
--- a/tests/test_LogStory.c
+++ b/tests/test_LogTimeline.c
@@ -5,7 +5,7 @@
 #include <unistd.h>
 
 #include "Errors.h"
-#include "LogStory.h"
+#include "LogTimeline.h"
 
 static char *
 write_file(const char *text)
@@ -30,38 +30,38 @@
     "upstream=u1 reason=cut\n"
     "<4>2026-01-01T00:00:40.000Z r2[9]: event=upstream_gone upstream=u1\n";
 
-START_TEST(lines_of_all_routers_come_in_order)
+START_TEST(lines_of_all_routers_are_sorted_by_time)
 {
-    g_autofree char *one = write_file(first_log);
-    g_autofree char *two = write_file(second_log);
-    char *paths[] = {one, two, NULL};
-    GString *story = LogStory_tell("q1", paths, NULL);
-    ck_assert_ptr_nonnull(story);
-    g_auto(GStrv) lines = g_strsplit(story->str, "\n", -1);
+    g_autofree char *first_path = write_file(first_log);
+    g_autofree char *second_path = write_file(second_log);
+    char *paths[] = {first_path, second_path, NULL};
+    GString *timeline = LogTimeline_write("q1", paths, NULL);
+    ck_assert_ptr_nonnull(timeline);
+    g_auto(GStrv) lines = g_strsplit(timeline->str, "\n", -1);
     ck_assert_uint_eq(g_strv_length(lines), 4);
     ck_assert_ptr_nonnull(strstr(lines[0], "upstream_doubted"));
     ck_assert_ptr_nonnull(strstr(lines[1], "attempt_failed"));
     ck_assert_ptr_nonnull(strstr(lines[2], "request_done request=q1"));
-    g_string_free(story, TRUE);
-    g_unlink(one);
-    g_unlink(two);
+    g_string_free(timeline, TRUE);
+    g_unlink(first_path);
+    g_unlink(second_path);
 }
 END_TEST
 
-START_TEST(what_is_missing_is_a_typed_error)
+START_TEST(unknown_request_and_unreadable_file_are_typed_errors)
 {
-    g_autofree char *one = write_file(first_log);
-    char *paths[] = {one, NULL};
-    char *nowhere[] = {(char *)"/nonexistent/log", NULL};
+    g_autofree char *first_path = write_file(first_log);
+    char *paths[] = {first_path, NULL};
+    char *unreadable_paths[] = {(char *)"/nonexistent/log", NULL};
     g_autoptr(GError) unknown = NULL;
     g_autoptr(GError) unreadable = NULL;
-    ck_assert_ptr_null(LogStory_tell("q2", paths, &unknown));
+    ck_assert_ptr_null(LogTimeline_write("q2", paths, &unknown));
     ck_assert(g_error_matches(unknown, WT_ERROR, WT_ERROR_BAD_BODY));
-    ck_assert_ptr_null(LogStory_tell("q1", nowhere, &unreadable));
+    ck_assert_ptr_null(LogTimeline_write("q1", unreadable_paths, &unreadable));
     ck_assert(g_error_matches(unreadable, WT_ERROR, WT_ERROR_FILE_UNREADABLE));
-    g_unlink(one);
+    g_unlink(first_path);
 }
 END_TEST
 
-TESTING_MAIN("LogStory", lines_of_all_routers_come_in_order,
-             what_is_missing_is_a_typed_error)
+TESTING_MAIN("LogTimeline", lines_of_all_routers_are_sorted_by_time,
+             unknown_request_and_unreadable_file_are_typed_errors)
--- a/tests/test_OperatorCommands.c
+++ b/tests/test_OperatorCommands.c
@@ -4,10 +4,11 @@
 
 #include "OperatorCommands.h"
 
-/* A log that answers no read, and an append only when it is told to. */
+/* A log that never answers reads and answers an append when the test calls
+ * @done. */
 typedef struct {
     LogClient_t super;
-    guint appended; /* records that it was given */
+    guint appended; /* number of appended records */
     LogAppended_t done;
     void *data;
 } SilentLog_t;
@@ -40,14 +41,15 @@
                                               .read = read_from};
 
 static void
-note_code(const Wt__ApplyResponse *response, void *data)
+store_error_code(const Wt__ApplyResponse *response, void *data)
 {
     *(int *)data = (int)response->error->code;
 }
 
-/* A priority that is declared well, with a field that no version has. */
+/* Creates a request with a valid priority and adds the encoded field @unknown
+ * to its change. */
 static Wt__ApplyRequest *
-request_with(const guint8 *unknown, gsize size)
+create_request(const guint8 *unknown, gsize size)
 {
     Wt__Field field = WT__FIELD__INIT;
     Wt__Field *fields[] = {&field};
@@ -66,19 +68,19 @@
     request.n_changes = 1;
     guint8 bytes[128];
     gsize length = wt__apply_request__pack(&request, bytes);
-    Wt__ApplyRequest *read = wt__apply_request__unpack(NULL, length, bytes);
+    Wt__ApplyRequest *decoded = wt__apply_request__unpack(NULL, length, bytes);
     guint8 packed[128];
-    gsize change_size = wt__change__pack(read->changes[0], packed);
+    gsize change_size = wt__change__pack(decoded->changes[0], packed);
     memcpy(packed + change_size, unknown, size);
-    wt__change__free_unpacked(read->changes[0], NULL);
-    read->changes[0] = wt__change__unpack(NULL, change_size + size, packed);
-    ck_assert_ptr_nonnull(read->changes[0]);
-    return read;
+    wt__change__free_unpacked(decoded->changes[0], NULL);
+    decoded->changes[0] = wt__change__unpack(NULL, change_size + size, packed);
+    ck_assert_ptr_nonnull(decoded->changes[0]);
+    return decoded;
 }
 
-/* How a command ends that the log does not answer. */
+/* Applies a command that the log does not answer; returns the error code. */
 static int
-apply(const guint8 *unknown, gsize size, guint *appended)
+apply_and_wait(const guint8 *unknown, gsize size, guint *appended)
 {
     int code = -1;
     ConfigLogLimits_t limits = {
@@ -91,8 +93,8 @@
     Context_t context = {
         .base = base, .config = store, .config_log = config_log};
     ProtobufCService *service = OperatorCommands_service(&context);
-    Wt__ApplyRequest *request = request_with(unknown, size);
-    wt__operator_command__apply(service, request, note_code, &code);
+    Wt__ApplyRequest *request = create_request(unknown, size);
+    wt__operator_command__apply(service, request, store_error_code, &code);
     wt__apply_request__free_unpacked(request, NULL);
     if (code < 0) {
         event_base_loop(base, EVLOOP_ONCE);
@@ -107,32 +109,30 @@
     return code;
 }
 
-START_TEST(a_command_that_the_log_does_not_answer_is_unknown)
+START_TEST(outcome_is_unknown_if_the_log_does_not_answer)
 {
     guint appended = 0;
-    ck_assert_int_eq(apply((const guint8 *)"", 0, &appended),
+    ck_assert_int_eq(apply_and_wait((const guint8 *)"", 0, &appended),
                      WT__ERROR_CODE__ERROR_OUTCOME_UNKNOWN);
     ck_assert_uint_eq(appended, 1);
 }
 END_TEST
 
 /*
- * Symptom: a router died by a null pointer. Sequence: a command with the
- * operators' key held a field of number 0 within a change. Cause: protobuf-c
- * reads such a field and writes it so that it can't be read, and the record
- * was read again for the answer. Settled by: a command whose record can't be
- * read is refused, and nothing is appended.
+ * A router crashed with a null pointer on a command with a field of number 0
+ * in a change. protobuf-c decodes such a field but packs it in a form that it
+ * cannot decode, and the router decoded the packed record for the answer. Such
+ * a command is refused, and nothing is appended.
  */
-START_TEST(a_command_whose_record_cannot_be_read_is_refused)
+START_TEST(command_with_undecodable_record_is_refused)
 {
     static const guint8 unknown[] = {0x85, 0x00, 1, 2, 3, 4};
     guint appended = 0;
-    ck_assert_int_eq(apply(unknown, sizeof(unknown), &appended),
+    ck_assert_int_eq(apply_and_wait(unknown, sizeof(unknown), &appended),
                      WT__ERROR_CODE__ERROR_INVALID_DECLARATION);
     ck_assert_uint_eq(appended, 0);
 }
 END_TEST
 
-TESTING_MAIN("OperatorCommands",
-             a_command_that_the_log_does_not_answer_is_unknown,
-             a_command_whose_record_cannot_be_read_is_refused)
+TESTING_MAIN("OperatorCommands", outcome_is_unknown_if_the_log_does_not_answer,
+             command_with_undecodable_record_is_refused)
