--- a/src/DepartedUpstreams.c
+++ b/src/DepartedUpstreams.c
@@ -1,22 +1,22 @@
 #include "DepartedUpstreams.h"
 
-/* A copy is some seconds old, and an outage before it takes minutes at the
- * most. */
-#define KEEP_MS 300000
-/* More have not departed in that time; the oldest are forgotten first. */
+/* Covers the age of the copy that a store is restored from (seconds) and the
+ * outage before it (minutes). */
+#define RETAIN_MS 300000
+/* More than depart within RETAIN_MS; beyond it the oldest are removed. */
 #define DEPARTED_MAX 16384
 
 typedef struct {
     GString *name;
     guint64 incarnation;
     guint64 epoch;
-    gint64 at_ms;
-    gboolean left;
+    gint64 departed_ms;
+    gboolean left; /* it had announced that it leaves */
 } Entry_t;
 
 struct DepartedUpstreams {
     GHashTable *entries; /* name -> Entry_t */
-    GQueue order;        /* Entry_t, the oldest at the head */
+    GQueue order;        /* of Entry_t, oldest at the head */
 };
 
 DepartedUpstreams_t *
@@ -53,10 +53,10 @@
 }
 
 static gboolean
-is_full(const DepartedUpstreams_t *this, gint64 now_ms)
+must_remove_oldest(const DepartedUpstreams_t *this, gint64 now_ms)
 {
     const Entry_t *oldest = g_queue_peek_head((GQueue *)&this->order);
-    return oldest && (now_ms - oldest->at_ms > KEEP_MS ||
+    return oldest && (now_ms - oldest->departed_ms > RETAIN_MS ||
                       this->order.length >= DEPARTED_MAX);
 }
 
@@ -64,22 +64,22 @@
 DepartedUpstreams_note(DepartedUpstreams_t *this, const Upstream_t *upstream,
                        guint64 epoch, gint64 now_ms)
 {
-    DepartedUpstreams_forget(this, upstream->name->str);
-    while (is_full(this, now_ms)) {
+    DepartedUpstreams_remove(this, upstream->name->str);
+    while (must_remove_oldest(this, now_ms)) {
         remove_entry(this, g_queue_peek_head(&this->order));
     }
     Entry_t *entry = g_new0(Entry_t, 1);
     entry->name = g_string_new(upstream->name->str);
     entry->incarnation = upstream->incarnation;
     entry->epoch = epoch;
-    entry->at_ms = now_ms;
+    entry->departed_ms = now_ms;
     entry->left = upstream->leaving;
     g_hash_table_insert(this->entries, entry->name->str, entry);
     g_queue_push_tail(&this->order, entry);
 }
 
 void
-DepartedUpstreams_forget(DepartedUpstreams_t *this, const char *name)
+DepartedUpstreams_remove(DepartedUpstreams_t *this, const char *name)
 {
     Entry_t *entry = g_hash_table_lookup(this->entries, name);
     if (entry) {
@@ -87,9 +87,9 @@
     }
 }
 
-Departed_t
-DepartedUpstreams_find(const DepartedUpstreams_t *this, const char *name,
-                       guint64 incarnation, guint64 epoch)
+DepartedCheck_t
+DepartedUpstreams_check(const DepartedUpstreams_t *this, const char *name,
+                        guint64 incarnation, guint64 epoch)
 {
     const Entry_t *entry = g_hash_table_lookup(this->entries, name);
     if (!entry || incarnation > entry->incarnation) {
--- a/src/DepartedUpstreams.h
+++ b/src/DepartedUpstreams.h
@@ -3,55 +3,56 @@
 /**
  * DOC: DepartedUpstreams
  *
- * Upstreams that were on the list and are not any more. A store that comes
- * back from an older copy lists them as they were before they left; work must
- * not go to them on the word of such an entry. One that is there writes its
- * entry again by itself. One that had said that it leaves stays so whatever
- * its entries read, until it starts anew.
+ * Remembers upstreams that were removed from the list. A store that is
+ * restored from an older copy lists them as they were before they departed,
+ * and no request may be sent to them because of such an entry. An upstream
+ * that is still running writes its entry again by itself. An upstream that
+ * announced that it leaves counts as leaving, whatever its entries say, until
+ * it restarts.
  */
 #include "StorePosition.h"
 #include "Upstream.h"
 
 /**
- * enum Departed_t - what an entry from a list is worth
- * @DEPARTED_NOT: the upstream has not departed, or has started anew
- * @DEPARTED_LAPSED: it is passed over until the upstream writes one
- * @DEPARTED_LEFT: the upstream had said that it leaves, which is never taken
- *     back
+ * enum DepartedCheck_t - how a listed entry is to be treated
+ * @DEPARTED_NOT: valid; the upstream has not departed, or has restarted
+ * @DEPARTED_LAPSED: out of date; ignored until the upstream writes an entry
+ * @DEPARTED_LEFT: the upstream announced that it leaves, which it cannot
+ *     revoke
  */
 typedef enum {
     DEPARTED_NOT,
     DEPARTED_LAPSED,
     DEPARTED_LEFT,
-} Departed_t;
+} DepartedCheck_t;
 
 /** struct DepartedUpstreams_t - opaque */
 typedef struct DepartedUpstreams DepartedUpstreams_t;
 
-/** DepartedUpstreams_create() - none */
+/** DepartedUpstreams_create() - create an empty set */
 DepartedUpstreams_t *DepartedUpstreams_create(void);
 
 /** DepartedUpstreams_destroy() - free it */
 void DepartedUpstreams_destroy(DepartedUpstreams_t *this);
 
 /**
- * DepartedUpstreams_note() - an upstream is off the list
- * @epoch: of the store that lists it no more
+ * DepartedUpstreams_note() - record that an upstream was removed from the list
+ * @epoch: epoch of the store that no longer lists it
  */
 void DepartedUpstreams_note(DepartedUpstreams_t *this,
                             const Upstream_t *upstream, guint64 epoch,
                             gint64 now_ms);
 
-/** DepartedUpstreams_forget() - it is back by an entry of its own */
-void DepartedUpstreams_forget(DepartedUpstreams_t *this, const char *name);
+/** DepartedUpstreams_remove() - the upstream is listed again */
+void DepartedUpstreams_remove(DepartedUpstreams_t *this, const char *name);
 
 /**
- * DepartedUpstreams_find() - what an entry in a list is worth
- * @incarnation: that it tells
- * @epoch: of the store that lists it
+ * DepartedUpstreams_check() - decide how a listed entry is to be treated
+ * @incarnation: incarnation in the entry
+ * @epoch: epoch of the store that lists the entry
  */
-Departed_t DepartedUpstreams_find(const DepartedUpstreams_t *this,
-                                  const char *name, guint64 incarnation,
-                                  guint64 epoch);
+DepartedCheck_t DepartedUpstreams_check(const DepartedUpstreams_t *this,
+                                        const char *name, guint64 incarnation,
+                                        guint64 epoch);
 
 #endif
--- a/src/Dispatch.c
+++ b/src/Dispatch.c
@@ -93,8 +93,8 @@
 static Placement_t
 make_placement(const Dispatch_t *this, const Wt__PlaceAsk *query)
 {
-    const GPtrArray *serving =
-        UpstreamSet_serving(this->spec.upstreams, ROLE_SERVICE, query->target);
+    const GPtrArray *serving = UpstreamSet_findServing(
+        this->spec.upstreams, ROLE_SERVICE, query->target);
     Placement_t placement = {
         .target = query->target,
         .serving = serving,
@@ -104,7 +104,7 @@
         .level_tokens = {query->prefix_tokens, query->prompt_tokens},
         .prompt_tokens = MAX(query->prompt_tokens, query->prefix_tokens),
         .groups = Dispatch_countGroups(this, serving->len),
-        .avoid = UpstreamSet_findHash(this->spec.upstreams, query->avoid),
+        .avoid = UpstreamSet_findByHash(this->spec.upstreams, query->avoid),
         .run_us = query->run_us,
         .latest_us = query->latest_us,
         .ignores_backoffs = TRUE,
@@ -147,7 +147,7 @@
 {
     const UpstreamSet_t *upstreams = this->spec.upstreams;
     return (Choice_t){
-        .upstream = UpstreamSet_findHash(upstreams, answer->upstream),
+        .upstream = UpstreamSet_findByHash(upstreams, answer->upstream),
         .reason = "dispatched",
         .expected_cached = answer->cached_tokens,
         .cost_us = answer->cost_us,
@@ -158,7 +158,8 @@
                 .tokens = answer->cached_tokens,
                 .move_us = answer->move_us,
                 .wait_us = answer->move_wait_us,
-                .source = UpstreamSet_findHash(upstreams, answer->fetch_from),
+                .source =
+                    UpstreamSet_findByHash(upstreams, answer->fetch_from),
             },
     };
 }
--- a/src/HallRegions.h
+++ b/src/HallRegions.h
@@ -3,8 +3,8 @@
 /**
  * DOC: HallRegions
  *
- * In which region each hall lies. The list of upstreams names halls only,
- * while the lease on orders is one a region.
+ * Maps each hall to its region. Entries in the list of upstreams name only
+ * their hall, while the lease for sending orders is held per region.
  */
 #include <glib.h>
 
@@ -12,21 +12,21 @@
 typedef struct HallRegions HallRegions_t;
 
 /**
- * HallRegions_create() - take the halls of the settings
- * @halls: GString *, or NULL
- * @regions: GString *, that of the hall at the same place; or NULL
- * @own: region of every hall where none is named
+ * HallRegions_create() - build the map from the settings
+ * @halls: names of halls (GString *), or NULL
+ * @regions: regions of the halls at the same indices (GString *), or NULL
+ * @local: region of this router, used for every hall if no halls are set
  */
 HallRegions_t *HallRegions_create(const GPtrArray *halls,
-                                  const GPtrArray *regions, const char *own);
+                                  const GPtrArray *regions, const char *local);
 
 /** HallRegions_destroy() - free it */
 void HallRegions_destroy(HallRegions_t *this);
 
 /**
- * HallRegions_find() - the region of a hall
+ * HallRegions_find() - look up the region of a hall
  *
- * Return: empty for a hall that is not named while others are
+ * Return: an empty string if halls are set and this one is not among them
  */
 const char *HallRegions_find(const HallRegions_t *this, const char *hall);
 
--- a/src/InstanceList.c
+++ b/src/InstanceList.c
@@ -32,9 +32,9 @@
     }
 }
 
-/* A router's entry says where it listens for peers. */
+/* A router's entry names the address on which it listens for peers. */
 static void
-take_router(InstanceList_t *this, const char *peer)
+add_router_seed(InstanceList_t *this, const char *peer)
 {
     Address_t address = {{0}, 0};
     const char *colon = peer ? strrchr(peer, ':') : NULL;
@@ -47,13 +47,13 @@
 }
 
 static void
-take_entry(InstanceList_t *this, const json_t *entry)
+apply_entry(InstanceList_t *this, const json_t *entry)
 {
     const char *name = Json_getString(entry, "name");
     const char *state = Json_getString(entry, "state");
     Upstream_t *upstream =
         name ? UpstreamSet_find(this->upstreams, name) : NULL;
-    take_router(this, Json_getString(entry, "peer"));
+    add_router_seed(this, Json_getString(entry, "peer"));
     if (!upstream || !state) {
         return;
     }
@@ -67,12 +67,12 @@
 }
 
 static void
-take_list(InstanceList_t *this, const HttpAnswer_t *answer)
+apply_list(InstanceList_t *this, const HttpAnswer_t *answer)
 {
     json_t *body = Json_parse(answer->body, answer->length, NULL);
     const json_t *list = json_object_get(body, "instances");
     for (size_t i = 0; i < json_array_size(list); i++) {
-        take_entry(this, json_array_get(list, i));
+        apply_entry(this, json_array_get(list, i));
     }
     json_decref(body);
 }
@@ -84,10 +84,10 @@
     InstanceList_t *this = data;
     this->call = NULL;
     if (answer && answer->status == HTTP_OK) {
-        take_list(this, answer);
+        apply_list(this, answer);
     }
-    gint64 half = this->poll_ms / 2;
-    Clock_arm(this->timer, half + Random_below((guint32)half * 2 + 1));
+    gint64 half_ms = this->poll_ms / 2;
+    Clock_arm(this->timer, half_ms + Random_below((guint32)half_ms * 2 + 1));
 }
 
 static void
--- a/src/InstanceList.h
+++ b/src/InstanceList.h
@@ -3,8 +3,8 @@
 /**
  * DOC: InstanceList
  *
- * Reads the platform's list of live and leaving instances. The list lags, so
- * it is a hint: it may start a leaving and never ends one.
+ * Polls the platform's list of live and leaving instances. The list lags
+ * behind, so it may mark an upstream as leaving, but never clears that mark.
  */
 #include <event2/event.h>
 
@@ -16,17 +16,18 @@
 typedef struct InstanceList InstanceList_t;
 
 /**
- * InstanceList_create() - start to read
- * @poll_ms: time between two reads
- * @upstreams: told of what is read; must outlive it
- * @membership: told of routers' addresses and of news; must outlive it
+ * InstanceList_create() - start to poll the list
+ * @poll_ms: mean time between two reads
+ * @upstreams: their incarnation and leaving state are updated; must outlive it
+ * @membership: receives the routers' peer addresses as seeds and is notified
+ *     of changed upstreams; must outlive it
  */
 InstanceList_t *InstanceList_create(struct event_base *base,
                                     const Address_t *address, gint64 poll_ms,
                                     UpstreamSet_t *upstreams,
                                     Membership_t *membership);
 
-/** InstanceList_destroy() - stop and free it */
+/** InstanceList_destroy() - stop polling and free it */
 void InstanceList_destroy(InstanceList_t *this);
 
 #endif
--- a/src/ListedUpstream.c
+++ b/src/ListedUpstream.c
@@ -34,7 +34,7 @@
 }
 
 guint64
-ListedUpstream_hashPlace(const ListedUpstream_t *this)
+ListedUpstream_hashWithoutWeights(const ListedUpstream_t *this)
 {
     g_autoptr(GString) text = g_string_new(NULL);
     g_string_printf(text, "%s:%u %s %d %" G_GUINT64_FORMAT,
--- a/src/ListedUpstream.h
+++ b/src/ListedUpstream.h
@@ -3,16 +3,16 @@
 /**
  * DOC: ListedUpstream
  *
- * One entry of the platform's list of upstreams, as a decoder fills it.
+ * One decoded entry of the platform's list of upstreams.
  */
 #include "UpstreamSet.h"
 
 /**
  * struct ListedUpstream_t - one entry of the list
- * @spec: where it is and what it serves
- * @incarnation: grows with each of its starts; 0 where it does not say
- * @leaving: it takes no new work
- * @weights: version that it has; empty where it has none
+ * @spec: address, hall, region, role, slots and the targets that it serves
+ * @incarnation: increases with each start of the upstream; 0 if not given
+ * @leaving: the upstream accepts no new requests
+ * @weights: version of the loaded weights; empty if there are none
  */
 typedef struct {
     UpstreamSpec_t spec;
@@ -22,27 +22,27 @@
 } ListedUpstream_t;
 
 /**
- * ListedUpstreamDecode_t - read an entry
- * @value: as the list has it
- * @out: filled where it is good; cleared by ListedUpstream_clear()
+ * ListedUpstreamDecode_t - decode an entry of the list
+ * @value: the entry as stored in the list
+ * @out: initialized by the caller, who also clears it; filled on success
  *
- * Return: FALSE where it names no upstream to use
+ * Return: FALSE if the entry is not a valid upstream
  */
 typedef gboolean (*ListedUpstreamDecode_t)(GBytes *value,
                                            ListedUpstream_t *out,
                                            GError **error);
 
-/** ListedUpstream_init() - an empty entry that a decoder fills */
+/** ListedUpstream_init() - prepare an empty entry for a decoder */
 void ListedUpstream_init(ListedUpstream_t *this);
 
-/** ListedUpstream_clear() - free what an entry holds */
+/** ListedUpstream_clear() - free the fields of an entry */
 void ListedUpstream_clear(ListedUpstream_t *this);
 
-/** ListedUpstream_incarnation() - where an entry does not say which of its
- * starts it is of, there is one */
+/** ListedUpstream_incarnation() - the entry's incarnation, 1 if not given */
 guint64 ListedUpstream_incarnation(const ListedUpstream_t *this);
 
-/** ListedUpstream_hashPlace() - of all that it says but the weights */
-guint64 ListedUpstream_hashPlace(const ListedUpstream_t *this);
+/** ListedUpstream_hashWithoutWeights() - hash of address, hall, leaving,
+ * incarnation and targets */
+guint64 ListedUpstream_hashWithoutWeights(const ListedUpstream_t *this);
 
 #endif
--- a/src/LoadShare.c
+++ b/src/LoadShare.c
@@ -61,7 +61,7 @@
 add_load(const LoadShare_t *this, const Load_t *load)
 {
     Upstream_t *upstream =
-        UpstreamSet_findHash(this->spec.upstreams, load->upstream);
+        UpstreamSet_findByHash(this->spec.upstreams, load->upstream);
     if (upstream) {
         upstream->peer_tokens += load->tokens;
         upstream->peer_requests += load->requests;
@@ -112,7 +112,7 @@
     for (size_t i = 0; i < message->n_loads; i++) {
         const Wt__UpstreamLoad *peer_load = message->loads[i];
         Upstream_t *upstream =
-            UpstreamSet_findHash(this->spec.upstreams, peer_load->upstream);
+            UpstreamSet_findByHash(this->spec.upstreams, peer_load->upstream);
         if (upstream) {
             EngineMemory_notePeerTokens(&upstream->memory,
                                         peer_load->taken_tokens);
@@ -121,7 +121,7 @@
     for (size_t i = 0; i < message->n_reads; i++) {
         const Wt__PrefixRead *read = message->reads[i];
         Upstream_t *upstream =
-            UpstreamSet_findHash(this->spec.upstreams, read->upstream);
+            UpstreamSet_findByHash(this->spec.upstreams, read->upstream);
         if (upstream) {
             Policy_learnPrefix(this->spec.policy, read->prefix, 0, upstream,
                                now_ms);
--- a/src/NoticeUpdates.c
+++ b/src/NoticeUpdates.c
@@ -67,7 +67,7 @@
     while (batch->count < FACTS_PER_MESSAGE_MAX &&
            g_hash_table_iter_next(&iter, &hash, NULL)) {
         const Upstream_t *upstream =
-            UpstreamSet_findHash(this->spec.upstreams, *(guint64 *)hash);
+            UpstreamSet_findByHash(this->spec.upstreams, *(guint64 *)hash);
         if (upstream) {
             add_fact(batch, upstream);
         }
@@ -129,7 +129,7 @@
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     this->timer = Clock_timer(base, on_timer, this);
     this->unlisted = g_array_new(FALSE, FALSE, sizeof(ReceivedFact_t));
-    UpstreamSet_onAdded(spec->upstreams, on_upstream_added, this);
+    UpstreamSet_setAddedCallback(spec->upstreams, on_upstream_added, this);
     return this;
 }
 
@@ -137,7 +137,7 @@
 NoticeUpdates_destroy(NoticeUpdates_t *this)
 {
     event_free(this->timer);
-    UpstreamSet_onAdded(this->spec.upstreams, NULL, NULL);
+    UpstreamSet_setAddedCallback(this->spec.upstreams, NULL, NULL);
     g_array_unref(this->unlisted);
     g_hash_table_destroy(this->pending);
     g_free(this);
@@ -219,7 +219,7 @@
             .expires_ms = Clock_nowMs() + UNLISTED_TIMEOUT_MS,
         };
         Upstream_t *upstream =
-            UpstreamSet_findHash(this->spec.upstreams, fact->upstream);
+            UpstreamSet_findByHash(this->spec.upstreams, fact->upstream);
         if (!is_valid(fact)) {
             continue;
         }
--- a/src/Placer.c
+++ b/src/Placer.c
@@ -30,7 +30,8 @@
     const char *model = prompt->model->str;
     result->placement = (Placement_t){
         .target = model,
-        .serving = UpstreamSet_serving(context->upstreams, ROLE_ENGINE, model),
+        .serving =
+            UpstreamSet_findServing(context->upstreams, ROLE_ENGINE, model),
         .generation = UpstreamSet_generation(context->upstreams),
         .prompt_tokens = Prompt_tokens(prompt),
         .hall = context->settings->router.hall->str,
--- a/src/RelayFeedback.c
+++ b/src/RelayFeedback.c
@@ -72,7 +72,7 @@
 static void
 apply_speed(const RelayFeedback_t *this, const EngineSpeed_t *speed)
 {
-    const GPtrArray *serving = UpstreamSet_serving(
+    const GPtrArray *serving = UpstreamSet_findServing(
         this->context->upstreams, ROLE_SERVICE, this->placement.target);
     for (guint i = 0; i < serving->len; i++) {
         Upstream_t *upstream = g_ptr_array_index(serving, i);
--- a/src/RelayParts.c
+++ b/src/RelayParts.c
@@ -224,7 +224,7 @@
                                        hint->subject, now_ms);
     }
     Upstream_t *upstream =
-        UpstreamSet_findHash(this->context->upstreams, hint->subject);
+        UpstreamSet_findByHash(this->context->upstreams, hint->subject);
     return upstream && apply_upstream_hint(upstream, hint, now_ms);
 }
 
@@ -350,7 +350,7 @@
         RouteSync_takePart(this->sync, part);
     }
     else {
-        UpstreamListing_take(this->context->listing, from, part);
+        UpstreamListing_receive(this->context->listing, from, part);
     }
 }
 
@@ -362,7 +362,7 @@
         RouteSync_answer(this->sync, from, query);
     }
     else {
-        UpstreamListing_answer(this->context->listing, from, query);
+        UpstreamListing_answerQuery(this->context->listing, from, query);
     }
 }
 
@@ -374,7 +374,7 @@
         RouteSync_takeAsk(this->sync, from, query);
     }
     else {
-        UpstreamListing_takeAsk(this->context->listing, from, query);
+        UpstreamListing_answerListQuery(this->context->listing, from, query);
     }
 }
 
@@ -385,7 +385,7 @@
         RouteSync_takePage(this->sync, from, page);
     }
     else {
-        UpstreamListing_takePage(this->context->listing, from, page);
+        UpstreamListing_receivePage(this->context->listing, from, page);
     }
 }
 
--- a/src/RelayPlacer.c
+++ b/src/RelayPlacer.c
@@ -242,8 +242,8 @@
         .placement =
             {
                 .target = input->service,
-                .serving = UpstreamSet_serving(context->upstreams,
-                                               ROLE_SERVICE, input->service),
+                .serving = UpstreamSet_findServing(
+                    context->upstreams, ROLE_SERVICE, input->service),
                 .generation = UpstreamSet_generation(context->upstreams),
                 .hall = settings->router.hall->str,
                 .region = settings->router.region->str,
--- a/src/Router.c
+++ b/src/Router.c
@@ -55,7 +55,8 @@
 on_config_changed(void *data)
 {
     Router_t *this = data;
-    UpstreamSet_follow(this->context.upstreams, this->context.config);
+    UpstreamSet_applyDeclarations(this->context.upstreams,
+                                  this->context.config);
     Log_begin(LOG_LEVEL_INFO, "config_in_force");
     Log_number("fold_offset",
                (gint64)ConfigStore_foldOffset(this->context.config));
--- a/src/ServiceExchange.c
+++ b/src/ServiceExchange.c
@@ -249,8 +249,8 @@
     const Context_t *context = super->context;
     Placement_t placement = {
         .target = super->target->str,
-        .serving = UpstreamSet_serving(context->upstreams, ROLE_SERVICE,
-                                       super->target->str),
+        .serving = UpstreamSet_findServing(context->upstreams, ROLE_SERVICE,
+                                           super->target->str),
         .generation = UpstreamSet_generation(context->upstreams),
         .hall = context->settings->router.hall->str,
         .region = context->settings->router.region->str,
--- a/src/StreamMover.c
+++ b/src/StreamMover.c
@@ -17,7 +17,7 @@
 count_usable(const StreamMover_t *this, const char *target, gint64 now_ms)
 {
     const GPtrArray *serving =
-        UpstreamSet_serving(this->upstreams, ROLE_SERVICE, target);
+        UpstreamSet_findServing(this->upstreams, ROLE_SERVICE, target);
     guint count = 0;
     for (guint i = 0; i < serving->len; i++) {
         const Upstream_t *upstream = g_ptr_array_index(serving, i);
--- a/src/UpstreamListing.c
+++ b/src/UpstreamListing.c
@@ -11,77 +11,80 @@
 #include "RecordFollower.h"
 #include "RecordRelay.h"
 
-/* Time for one prompt token on an engine that does not report it, until first
- * tokens have shown it: that of a fast engine, as to overrate it costs a wait,
- * and to underrate it a refusal. */
+/* Assumed prefill time per prompt token of an engine that does not report it,
+ * until first tokens have been observed. It is that of a fast engine:
+ * overestimating the speed costs a request a wait, underestimating it a
+ * refusal. */
 #define LISTED_PREFILL_US_PER_TOKEN 17.6
 
-/* One router after the other reads the list and tells its peers: the first
- * so often in the time in which it must be known, but not more often than the
- * least, each further one so much later, so that it only reads where those
- * before it have told nothing. */
-#define READS_IN_TIME 3
-#define READ_LEAST_MS 600
+/* Routers read the list in order of their ranks and send it to their peers.
+ * The first one reads READS_PER_POLL times within poll_ms, but at least
+ * READ_MIN_MS apart. Each further rank waits READ_STEP_MS longer, so that it
+ * only reads if the routers of lower ranks have sent nothing. */
+#define READS_PER_POLL 3
+#define READ_MIN_MS 600
 #define READ_STEP_MS 250
-/* A reader gets the heartbeats of all upstreams since its last read, and where
- * nobody is told all would read at once: the store bears so many entries; the
- * routers beyond them take their turns later. */
-#define ENTRIES_AT_ONCE 100000
-/* Longest mean pause between tries of a router that others read for, while the
- * store fails: with 300 routers some 90 calls a second in place of 370. */
-#define RETRY_MOST_MS 3200
-/* All routers list the topic anew when the store comes back older; so much of
- * time for each of them up to the most, as the store serves a few thousand
- * calls a second. */
+/* A read returns the heartbeats of all upstreams since the router's last read,
+ * and routers that receive nothing from their peers would all read at once.
+ * The store can serve this many entries at once; routers whose ranks are too
+ * high for that read later. */
+#define ENTRIES_AT_ONCE_MAX 100000
+/* Maximum mean pause between retries while the store fails, for a router whose
+ * peers read for it: with 300 routers about 90 calls per second instead of
+ * 370. */
+#define RETRY_MAX_MS 3200
+/* When the store is restored from an older copy, all routers list the topic
+ * again. The calls are spread over LIST_SPREAD_MS per router, up to the
+ * maximum, as the store serves a few thousand calls per second. */
 #define LIST_SPREAD_MS 10
-#define LIST_SPREAD_MOST_MS 1000
-/* How long a peer may take to tell what is missing, and bytes that it tells of
- * it at once: 26 ms of a link of 20 Mbit/s. */
-#define GAP_MS 600
-#define GAP_BYTES 65536
-/* The step between ranks doubles so often while calls fail. */
-#define RETRY_DOUBLINGS 6
-/* How often it is looked whether the other routers are known by now. */
-#define SETTLED_LOOK_MS 200
-/* New upstreams that are named, of those that come with one list or one end of
- * the topic. */
-#define LISTED_NAMED 64
-/* Name under which routers are ranked for it. */
+#define LIST_SPREAD_MAX_MS 1000
+/* Timeout of a query for missing records, and the maximum bytes of one answer:
+ * 26 ms of a 20 Mbit/s link. */
+#define GAP_QUERY_TIMEOUT_MS 600
+#define GAP_ANSWER_MAX_BYTES 65536
+/* The step between ranks doubles with each retry, up to this many times. */
+#define RETRY_DOUBLINGS_MAX 6
+/* Interval at which the router checks whether its membership has converged. */
+#define MEMBERSHIP_CHECK_MS 200
+/* Maximum number of new upstreams that are logged by name, for each list or
+ * read of the topic's end. */
+#define LISTED_LOGGED_MAX 64
+/* Key by which routers are ranked for reading the list. */
 #define RANK_KEY "listing"
 
 /* Hashes of an upstream's last entry. */
 typedef struct {
-    guint64 entry;       /* of its bytes */
-    guint64 place;       /* of all that it says but the weights */
-    gboolean unreadable; /* it names no upstream to use */
-} Seen_t;
+    guint64 value;           /* of the entry's bytes */
+    guint64 without_weights; /* of the entry's other fields */
+    gboolean unreadable;     /* the entry is not a valid upstream */
+} EntryHashes_t;
 
 struct UpstreamListing {
     UpstreamListingSpec_t spec;
     RecordFollower_t *follower;
     DepartedUpstreams_t *departed;
-    GHashTable *missing; /* set of names that may come back */
-    GHashTable *seen;    /* name -> Seen_t */
+    GHashTable *missing;      /* names that may be listed again in time */
+    GHashTable *entry_hashes; /* name -> EntryHashes_t */
     GHashTable *samples; /* target -> name of an upstream that serves it */
     RecordRelay_t *relay;
     ListCopy_t *copy;
     ListExchange_t *exchange; /* NULL without peers */
-    struct event *return_over;
-    struct event *settled;
-    gint64 regained_ms;    /* 0 where the list was never out of reach */
-    gboolean known;        /* some of it was read */
-    gboolean feeding;      /* what is told now comes from a peer */
-    gboolean listing;      /* records of a list have come since the last end */
-    guint listed;          /* upstreams that were new in it */
-    gint64 current_ms;     /* when the topic's end was last known */
-    gint64 told_ms;        /* when a peer last told something new */
-    guint retries;         /* turns in a row that were taken after a failure */
-    gint64 called_ms;      /* when this router last took its turn */
-    Member_t *teller;      /* whose word is taken now, or NULL */
-    StorePosition_t ahead; /* furthest end that peers have told of */
-    gint64 gap_ms;         /* since when something is missing; 0: nothing */
-    gint64 gap_asked_ms;   /* when a peer was asked for what is missing */
-    GString *gap_peer;     /* its name */
+    struct event *return_timer;
+    struct event *membership_timer;
+    gint64 restored_ms;       /* end of the last outage; 0 if there was none */
+    gboolean known;           /* any part of the list has been read */
+    gboolean is_from_peer;    /* the records being applied are a peer's */
+    gboolean is_list_open;    /* list records came since the last end */
+    guint listed;             /* new upstreams since the last end */
+    gint64 current_ms;        /* when the topic's end was last known */
+    gint64 peer_update_ms;    /* when a peer last sent new records */
+    guint retries;            /* consecutive calls made after a failure */
+    gint64 called_ms;         /* when this router last called the store */
+    Member_t *sender;         /* of the records being applied, or NULL */
+    StorePosition_t peer_end; /* furthest end received from peers */
+    gint64 gap_since_ms;      /* since when records are missing; 0: none */
+    gint64 gap_query_ms;      /* when the open gap query was sent; 0: none */
+    GString *gap_peer;        /* name of the queried peer */
 };
 
 static void
@@ -94,17 +97,17 @@
 }
 
 static void
-drop(UpstreamListing_t *this, const char *name, const char *reason)
+remove_upstream(UpstreamListing_t *this, const char *name, const char *reason)
 {
     const Upstream_t *upstream = UpstreamSet_find(this->spec.upstreams, name);
     log_upstream("upstream_gone", name, reason);
     DepartedUpstreams_note(this->departed, upstream,
                            StoreEpoch_newest(this->spec.epoch), Clock_nowMs());
-    UpstreamSet_drop(this->spec.upstreams, name);
+    UpstreamSet_remove(this->spec.upstreams, name);
 }
 
 static void
-on_return_over(evutil_socket_t fd, short what, void *data)
+on_return_timer(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
@@ -113,38 +116,38 @@
     gpointer name = NULL;
     g_hash_table_iter_init(&iter, this->missing);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
-        drop(this, name, "not_back_after_outage");
+        remove_upstream(this, name, "not_back_after_outage");
         g_hash_table_iter_remove(&iter);
     }
 }
 
 static gint64
-return_left_ms(const UpstreamListing_t *this)
+return_remaining_ms(const UpstreamListing_t *this)
 {
     if (RecordFollower_isLost(this->follower)) {
         return this->spec.return_ms;
     }
-    if (this->regained_ms == 0) {
+    if (this->restored_ms == 0) {
         return 0;
     }
-    return this->regained_ms + this->spec.return_ms - Clock_nowMs();
+    return this->restored_ms + this->spec.return_ms - Clock_nowMs();
 }
 
 static void
-take_removal(UpstreamListing_t *this, const char *name)
+apply_removal(UpstreamListing_t *this, const char *name)
 {
-    g_hash_table_remove(this->seen, name);
+    g_hash_table_remove(this->entry_hashes, name);
     if (!UpstreamSet_find(this->spec.upstreams, name)) {
         return;
     }
-    gint64 left_ms = return_left_ms(this);
-    if (left_ms <= 0) {
-        drop(this, name, "not_listed");
+    gint64 remaining_ms = return_remaining_ms(this);
+    if (remaining_ms <= 0) {
+        remove_upstream(this, name, "not_listed");
         return;
     }
     log_upstream("upstream_missing", name, "lapsed_in_outage");
     g_hash_table_add(this->missing, g_strdup(name));
-    Clock_arm(this->return_over, left_ms);
+    Clock_arm(this->return_timer, remaining_ms);
 }
 
 static void
@@ -158,10 +161,11 @@
     log_upstream("upstream_leaving", upstream->name->str, "listed");
 }
 
-/* The weights of an upstream that is new here come with its entry. */
+/* Peers learn the weights of a new upstream from its entry, so only changes
+ * are sent as hints. */
 static void
-take_weights(const UpstreamListing_t *this, Upstream_t *upstream,
-             const char *weights, gboolean is_new)
+apply_weights(const UpstreamListing_t *this, Upstream_t *upstream,
+              const char *weights, gboolean is_new)
 {
     if (!*weights || !Upstream_noteWeights(upstream, weights) || is_new ||
         !this->spec.hints) {
@@ -183,8 +187,9 @@
     return FALSE;
 }
 
-/* The set is put in order anew when it is asked after an entry: to ask for
- * each of 3,000 new ones took a router 2 s of processor time at its start. */
+/* Caches one upstream per target, because the set rebuilds its indexes when
+ * they are read after a change: a look-up for each of 3,000 new upstreams took
+ * a router 2 s of CPU time at its start. */
 static const Upstream_t *
 find_sample(const UpstreamListing_t *this, UpstreamRole_t role,
             const GString *target)
@@ -195,22 +200,22 @@
     if (known && known->role == role && is_serving(known, target)) {
         return known;
     }
-    const GPtrArray *others =
-        UpstreamSet_serving(this->spec.upstreams, role, target->str);
-    if (others->len == 0) {
+    const GPtrArray *serving =
+        UpstreamSet_findServing(this->spec.upstreams, role, target->str);
+    if (serving->len == 0) {
         return NULL;
     }
-    const Upstream_t *first = g_ptr_array_index(others, 0);
+    const Upstream_t *first = g_ptr_array_index(serving, 0);
     g_hash_table_replace(this->samples, g_strdup(target->str),
                          g_strdup(first->name->str));
     return first;
 }
 
-/* What is known of an upstream that has started anew under its name is gone:
- * it holds nothing of before. */
+/* An upstream that restarted under the same name has lost its memory, so the
+ * state of its previous incarnation is reset. */
 static void
-take_incarnation(const UpstreamListing_t *this, Upstream_t *upstream,
-                 const ListedUpstream_t *entry)
+apply_incarnation(const UpstreamListing_t *this, Upstream_t *upstream,
+                  const ListedUpstream_t *entry)
 {
     guint64 before = upstream->incarnation;
     if (!Upstream_noteIncarnation(upstream, ListedUpstream_incarnation(entry),
@@ -227,7 +232,7 @@
     Log_end();
 }
 
-/* As fast as another one that serves the same, as far as is known. */
+/* A new upstream is assumed to be as fast as another one of its target. */
 static double
 expected_speed(const UpstreamListing_t *this, const ListedUpstream_t *entry)
 {
@@ -240,117 +245,122 @@
     return sample ? sample->prefill_us_per_token : LISTED_PREFILL_US_PER_TOKEN;
 }
 
-/* Of a long list the first are named; its last line has the count. */
+/* Only the first upstreams of a long list are logged by name; log_listed()
+ * logs the count. */
 static void
-note_new(UpstreamListing_t *this, const char *name,
-         const ListedUpstream_t *entry)
+note_new_upstream(UpstreamListing_t *this, const char *name,
+                  const ListedUpstream_t *entry)
 {
     this->listed++;
-    if (this->listed > LISTED_NAMED) {
+    if (this->listed > LISTED_LOGGED_MAX) {
         return;
     }
     log_upstream("upstream_listed", name, entry->leaving ? "leaving" : "live");
 }
 
 static void
-take_entry(UpstreamListing_t *this, const char *name,
-           const ListedUpstream_t *entry)
+apply_entry(UpstreamListing_t *this, const char *name,
+            const ListedUpstream_t *entry)
 {
     gboolean is_new = !UpstreamSet_find(this->spec.upstreams, name);
     double speed = is_new ? expected_speed(this, entry) : 0;
     Upstream_t *upstream =
         UpstreamSet_put(this->spec.upstreams, name, &entry->spec);
     if (is_new) {
-        note_new(this, name, entry);
+        note_new_upstream(this, name, entry);
         Upstream_noteIncarnation(upstream, ListedUpstream_incarnation(entry),
                                  Clock_nowMs());
         upstream->versions_increase = TRUE;
         upstream->prefill_us_per_token = speed;
     }
     else {
-        take_incarnation(this, upstream, entry);
+        apply_incarnation(this, upstream, entry);
     }
-    take_weights(this, upstream, entry->weights->str, is_new);
+    apply_weights(this, upstream, entry->weights->str, is_new);
     if (entry->leaving) {
         note_leaving(this, upstream);
     }
 }
 
-/* Most entries are heartbeats that say the same again; with thousands of
- * upstreams it counts that they are not read. The same holds for one that
- * names no upstream, which would be logged each time. */
+/* Most records are heartbeats that repeat the last entry. With thousands of
+ * upstreams decoding them again is expensive, and an unreadable entry would be
+ * logged each time. */
 static gboolean
 is_unchanged(const UpstreamListing_t *this, const char *name, guint64 hash)
 {
-    const Seen_t *seen = g_hash_table_lookup(this->seen, name);
-    return seen && seen->entry == hash &&
-           (seen->unreadable || UpstreamSet_find(this->spec.upstreams, name));
+    const EntryHashes_t *last = g_hash_table_lookup(this->entry_hashes, name);
+    return last && last->value == hash &&
+           (last->unreadable || UpstreamSet_find(this->spec.upstreams, name));
 }
 
 static void
-note_seen(UpstreamListing_t *this, const char *name, const Seen_t *seen)
+store_hashes(UpstreamListing_t *this, const char *name,
+             const EntryHashes_t *hashes)
 {
-    g_hash_table_replace(this->seen, g_strdup(name),
-                         g_memdup2(seen, sizeof(*seen)));
+    g_hash_table_replace(this->entry_hashes, g_strdup(name),
+                         g_memdup2(hashes, sizeof(*hashes)));
 }
 
-/* Peers that are linked are told; who asks later is told by the copy. */
+/* Queues a record for all connected peers. Outside of a list it is also added
+ * to the changes of the copy, from which later queries are answered. */
 static void
-tell_change(UpstreamListing_t *this, const KeyedRecord_t *record)
+relay_change(UpstreamListing_t *this, const KeyedRecord_t *record)
 {
     RecordRelay_addUpdate(this->relay, record->key->str, record->value,
                           record->position);
-    if (!this->listing) {
+    if (!this->is_list_open) {
         ListCopy_noteChange(this->copy, record);
     }
 }
 
-/* Weights change often, all engines' within seconds; peers hear of them by
- * hints, which take a tenth of the bytes. */
+/* Entries whose weights alone changed are not relayed: the weights of all
+ * engines may change within seconds, and peers learn of them by hints, which
+ * take a tenth of the bytes. */
 static void
 relay_entry(UpstreamListing_t *this, const KeyedRecord_t *record, guint64 hash,
-            guint64 place)
+            guint64 without_weights)
 {
     const char *name = record->key->str;
-    const Seen_t *seen = g_hash_table_lookup(this->seen, name);
-    if (!seen || seen->place != place) {
-        tell_change(this, record);
+    const EntryHashes_t *last = g_hash_table_lookup(this->entry_hashes, name);
+    if (!last || last->without_weights != without_weights) {
+        relay_change(this, record);
     }
-    Seen_t now = {.entry = hash, .place = place};
-    note_seen(this, name, &now);
+    EntryHashes_t hashes = {.value = hash, .without_weights = without_weights};
+    store_hashes(this, name, &hashes);
 }
 
-/* Another writer has put something in its place: peers are told, as what they
- * know of it ends here as well. */
+/* Another writer has overwritten the upstream's entry. The record is relayed,
+ * as peers have to remove the upstream as well. */
 static void
-take_unreadable(UpstreamListing_t *this, const KeyedRecord_t *record,
-                guint64 hash, const GError *error)
+apply_unreadable(UpstreamListing_t *this, const KeyedRecord_t *record,
+                 guint64 hash, const GError *error)
 {
     const char *name = record->key->str;
-    Seen_t seen = {.entry = hash, .unreadable = TRUE};
+    EntryHashes_t hashes = {.value = hash, .unreadable = TRUE};
     Log_begin(LOG_LEVEL_WARNING, "listing_entry_unreadable");
     Log_text("upstream", name);
     Log_text("reason", error ? error->message : "");
     Log_end();
-    tell_change(this, record);
-    note_seen(this, name, &seen);
+    relay_change(this, record);
+    store_hashes(this, name, &hashes);
     if (UpstreamSet_find(this->spec.upstreams, name)) {
-        drop(this, name, "entry_unreadable");
+        remove_upstream(this, name, "entry_unreadable");
     }
 }
 
-/* Return: FALSE where an older copy lists what has departed */
+/* Return: FALSE if the entry of a departed upstream is from an older copy and
+ * is to be ignored */
 static gboolean
 check_departed(UpstreamListing_t *this, const KeyedRecord_t *record,
                ListedUpstream_t *entry)
 {
     const char *name = record->key->str;
-    Departed_t departed = DepartedUpstreams_find(
+    DepartedCheck_t departed = DepartedUpstreams_check(
         this->departed, name, ListedUpstream_incarnation(entry),
         record->position.epoch);
     gboolean is_new = !RecordFollower_isListing(this->follower);
     if (departed == DEPARTED_NOT || (departed == DEPARTED_LAPSED && is_new)) {
-        DepartedUpstreams_forget(this->departed, name);
+        DepartedUpstreams_remove(this->departed, name);
         return TRUE;
     }
     log_upstream("upstream_entry_older", name,
@@ -359,11 +369,11 @@
     return departed == DEPARTED_LEFT;
 }
 
-/* An older copy has an upstream where it was before its last start: at an
- * address that may be another one's by now. */
+/* A store restored from an older copy may list an upstream as it was before
+ * its last start, at an address that another upstream may use by now. */
 static gboolean
-is_of_former_start(const UpstreamListing_t *this, const char *name,
-                   const ListedUpstream_t *entry)
+is_former_incarnation(const UpstreamListing_t *this, const char *name,
+                      const ListedUpstream_t *entry)
 {
     const Upstream_t *known = UpstreamSet_find(this->spec.upstreams, name);
     if (!known || ListedUpstream_incarnation(entry) >= known->incarnation) {
@@ -383,25 +393,26 @@
         g_string_assign(
             entry.spec.region,
             HallRegions_find(this->spec.regions, entry.spec.hall->str));
-        if (!is_of_former_start(this, record->key->str, &entry) &&
+        if (!is_former_incarnation(this, record->key->str, &entry) &&
             check_departed(this, record, &entry)) {
-            relay_entry(this, record, hash, ListedUpstream_hashPlace(&entry));
-            take_entry(this, record->key->str, &entry);
+            relay_entry(this, record, hash,
+                        ListedUpstream_hashWithoutWeights(&entry));
+            apply_entry(this, record->key->str, &entry);
         }
     }
     else {
-        take_unreadable(this, record, hash, error);
+        apply_unreadable(this, record, hash, error);
     }
     ListedUpstream_clear(&entry);
 }
 
-/* A router that knows a part of the upstreams serves by them. */
+/* A router that knows only a part of the upstreams already uses them. */
 static void
-note_listing(UpstreamListing_t *this)
+note_list_record(UpstreamListing_t *this)
 {
     this->known = TRUE;
-    if (RecordFollower_isListing(this->follower) && !this->listing) {
-        this->listing = TRUE;
+    if (RecordFollower_isListing(this->follower) && !this->is_list_open) {
+        this->is_list_open = TRUE;
     }
 }
 
@@ -410,11 +421,11 @@
 {
     UpstreamListing_t *this = owner;
     const char *name = record->key->str;
-    note_listing(this);
+    note_list_record(this);
     ListCopy_put(this->copy, record);
     if (!record->value) {
-        tell_change(this, record);
-        take_removal(this, name);
+        relay_change(this, record);
+        apply_removal(this, name);
         return;
     }
     gsize length = 0;
@@ -426,47 +437,47 @@
     }
 }
 
-/* How long this router leaves the next read to those before it. One that does
- * not know the others yet would take itself for the first. */
+/* How long this router leaves the next read to routers of lower ranks. While
+ * its membership has not converged it would take itself for the first rank. */
 static gint64
-pause_ms(const UpstreamListing_t *this)
+read_pause_ms(const UpstreamListing_t *this)
 {
-    gint64 every_ms = MAX(this->spec.poll_ms / READS_IN_TIME, READ_LEAST_MS);
+    gint64 interval_ms = MAX(this->spec.poll_ms / READS_PER_POLL, READ_MIN_MS);
     if (!this->spec.membership) {
-        return MIN(every_ms, this->spec.poll_ms);
+        return MIN(interval_ms, this->spec.poll_ms);
     }
     if (!Membership_isConverged(this->spec.membership)) {
         return this->spec.poll_ms;
     }
     gint64 rank = Membership_localRank(this->spec.membership, RANK_KEY, NULL);
-    gint64 wanted = every_ms + rank * READ_STEP_MS;
+    gint64 wanted = interval_ms + rank * READ_STEP_MS;
     return MIN(wanted, this->spec.poll_ms);
 }
 
 static void
-set_reads(UpstreamListing_t *this)
+set_read_timing(UpstreamListing_t *this)
 {
-    gint64 pause = pause_ms(this);
-    gboolean for_others = pause < this->spec.poll_ms;
-    RecordFollower_setReadTiming(this->follower, 0, pause,
-                                 for_others ? 0 : RETRY_MOST_MS);
+    gint64 pause_ms = read_pause_ms(this);
+    gboolean reads_for_peers = pause_ms < this->spec.poll_ms;
+    RecordFollower_setReadTiming(this->follower, 0, pause_ms,
+                                 reads_for_peers ? 0 : RETRY_MAX_MS);
 }
 
 static void
-end_listing(UpstreamListing_t *this, StorePosition_t end)
+end_list(UpstreamListing_t *this, StorePosition_t end)
 {
-    this->listing = FALSE;
+    this->is_list_open = FALSE;
     ListCopy_startChanges(this->copy, end);
 }
 
 static void
 log_listed(UpstreamListing_t *this, StorePosition_t end)
 {
-    if (this->listed > LISTED_NAMED) {
+    if (this->listed > LISTED_LOGGED_MAX) {
         Log_begin(LOG_LEVEL_INFO, "upstreams_listed");
         Log_number("new", this->listed);
         Log_number("upstreams", ListCopy_countKeys(this->copy));
-        Log_text("from", this->feeding ? "peer" : "store");
+        Log_text("from", this->is_from_peer ? "peer" : "store");
         Log_number("end", (gint64)end.offset);
         Log_end();
     }
@@ -474,10 +485,10 @@
 }
 
 static void
-note_copy(UpstreamListing_t *this, StorePosition_t end, gint64 at_ms)
+note_current(UpstreamListing_t *this, StorePosition_t end, gint64 at_ms)
 {
-    if (this->listing || !this->known) {
-        end_listing(this, end);
+    if (this->is_list_open || !this->known) {
+        end_list(this, end);
     }
     log_listed(this, end);
     this->current_ms = at_ms;
@@ -490,200 +501,207 @@
 on_current(void *owner, StorePosition_t end, gint64 at_ms)
 {
     UpstreamListing_t *this = owner;
-    note_copy(this, end, at_ms);
+    note_current(this, end, at_ms);
     this->known = TRUE;
-    set_reads(this);
-    RecordRelay_broadcast(this->relay, end, at_ms, this->regained_ms,
-                          this->feeding);
+    set_read_timing(this);
+    RecordRelay_broadcast(this->relay, end, at_ms, this->restored_ms,
+                          this->is_from_peer);
 }
 
-/* Ranks are known once the router has had time to learn of the others. */
+/* Ranks are valid once the membership has converged. */
 static void
-on_settled(evutil_socket_t fd, short what, void *data)
+on_membership_timer(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
     UpstreamListing_t *this = data;
     if (Membership_isConverged(this->spec.membership)) {
-        set_reads(this);
+        set_read_timing(this);
     }
     else {
-        Clock_arm(this->settled, SETTLED_LOOK_MS);
+        Clock_arm(this->membership_timer, MEMBERSHIP_CHECK_MS);
     }
 }
 
 static gboolean
-ask_rest(UpstreamListing_t *this, Member_t *peer)
+query_gap(UpstreamListing_t *this, Member_t *peer)
 {
     StorePosition_t known = RecordFollower_position(this->follower);
-    gboolean asked = RecordRelay_sendQuery(this->relay, peer, known, 0);
-    this->gap_asked_ms = asked ? Clock_nowMs() : 0;
-    g_string_assign(this->gap_peer, asked ? peer->name->str : "");
-    return asked;
+    gboolean sent = RecordRelay_sendQuery(this->relay, peer, known, 0);
+    this->gap_query_ms = sent ? Clock_nowMs() : 0;
+    g_string_assign(this->gap_peer, sent ? peer->name->str : "");
+    return sent;
 }
 
-/* Who has told of a later end knows what is missing before it. Each router
- * that read it from the store would read all upstreams' heartbeats as well. */
+/* Queries the missing records from the peer that sent a later end. A read from
+ * the store would return the heartbeats of all upstreams as well. */
 static gboolean
 on_gap(void *owner)
 {
     UpstreamListing_t *this = owner;
     gint64 now_ms = Clock_nowMs();
-    if (this->gap_asked_ms > 0 && now_ms - this->gap_asked_ms < GAP_MS) {
+    if (this->gap_query_ms > 0 &&
+        now_ms - this->gap_query_ms < GAP_QUERY_TIMEOUT_MS) {
         return TRUE;
     }
-    if (!this->teller) {
+    if (!this->sender) {
         return FALSE;
     }
-    if (this->gap_ms == 0) {
-        this->gap_ms = now_ms;
+    if (this->gap_since_ms == 0) {
+        this->gap_since_ms = now_ms;
     }
-    return !ListExchange_mayQuery(this->exchange, this->teller,
-                                  now_ms - this->gap_ms) ||
-           ask_rest(this, this->teller);
+    return !ListExchange_mayQuery(this->exchange, this->sender,
+                                  now_ms - this->gap_since_ms) ||
+           query_gap(this, this->sender);
 }
 
-/* An answer has a part of a long gap. Only who was asked last is asked on: an
- * answer that comes late would begin a second row of them. */
+/* One answer may cover only a part of a long gap. Only the peer queried last
+ * is queried again: a late answer from another peer would start a second
+ * series of queries. */
 static void
-go_on_asking(UpstreamListing_t *this, Member_t *peer)
+continue_gap_query(UpstreamListing_t *this, Member_t *peer)
 {
     StorePosition_t known = RecordFollower_position(this->follower);
     if (!peer || !g_string_equal(this->gap_peer, peer->name)) {
         return;
     }
-    this->gap_asked_ms = 0;
-    if (StorePosition_compare(known, this->ahead) < 0) {
-        ask_rest(this, peer);
+    this->gap_query_ms = 0;
+    if (StorePosition_compare(known, this->peer_end) < 0) {
+        query_gap(this, peer);
     }
 }
 
 void
-UpstreamListing_take(UpstreamListing_t *this, Member_t *from,
-                     const Wt__TopicPart *message)
+UpstreamListing_receive(UpstreamListing_t *this, Member_t *from,
+                        const Wt__TopicPart *message)
 {
     if (!StoreEpoch_note(this->spec.epoch, message->epoch, "peer")) {
         return;
     }
     KeyedPage_t page = RecordRelay_decode(message);
     if (message->regained_age_ms > 0) {
-        gint64 regained_ms = PeerAge_atMs(message->regained_age_ms);
-        this->regained_ms = MAX(this->regained_ms, regained_ms);
+        gint64 restored_ms = PeerAge_atMs(message->regained_age_ms);
+        this->restored_ms = MAX(this->restored_ms, restored_ms);
     }
-    if (StorePosition_compare(page.end, this->ahead) > 0) {
-        this->ahead = page.end;
+    if (StorePosition_compare(page.end, this->peer_end) > 0) {
+        this->peer_end = page.end;
     }
-    this->feeding = TRUE;
-    this->teller = from;
+    this->is_from_peer = TRUE;
+    this->sender = from;
     gint64 at_ms = message->partial ? 0 : PeerAge_atMs(message->age_ms);
-    gboolean taken = RecordFollower_applyPeerRecords(
+    gboolean applied = RecordFollower_applyPeerRecords(
         this->follower, message->from, &page, at_ms);
-    this->teller = NULL;
-    this->feeding = FALSE;
+    this->sender = NULL;
+    this->is_from_peer = FALSE;
     g_ptr_array_unref(page.records);
-    if (taken) {
-        this->told_ms = Clock_nowMs();
-        this->gap_ms = 0;
-        go_on_asking(this, from);
+    if (applied) {
+        this->peer_update_ms = Clock_nowMs();
+        this->gap_since_ms = 0;
+        continue_gap_query(this, from);
     }
 }
 
 void
-UpstreamListing_answer(const UpstreamListing_t *this, Member_t *from,
-                       const Wt__TopicAsk *ask)
+UpstreamListing_answerQuery(const UpstreamListing_t *this, Member_t *from,
+                            const Wt__TopicAsk *query)
 {
-    StorePosition_t place = {ask->epoch, ask->from};
+    StorePosition_t start = {query->epoch, query->from};
     StorePosition_t known = RecordFollower_position(this->follower);
     StorePosition_t end = known;
     g_autoptr(GPtrArray) records = g_ptr_array_new();
-    if (known.epoch == place.epoch && known.offset > place.offset &&
+    if (known.epoch == start.epoch && known.offset > start.offset &&
         ListExchange_mayServe(this->exchange, from) &&
-        ListCopy_readChanges(this->copy, place, GAP_BYTES, records, &end)) {
+        ListCopy_readChanges(this->copy, start, GAP_ANSWER_MAX_BYTES, records,
+                             &end)) {
         gboolean all = StorePosition_compare(end, known) == 0;
-        RecordRelay_sendAnswer(this->relay, from, place.offset, records, end,
+        RecordRelay_sendAnswer(this->relay, from, start.offset, records, end,
                                all ? this->current_ms : 0);
     }
 }
 
 static void
-on_regained(void *owner)
+on_restored(void *owner)
 {
     UpstreamListing_t *this = owner;
-    this->regained_ms = Clock_nowMs();
+    this->restored_ms = Clock_nowMs();
 }
 
 static gint64
-spread_ms(const UpstreamListing_t *this)
+list_spread_ms(const UpstreamListing_t *this)
 {
     gint64 routers = this->spec.membership
                          ? Membership_countActive(this->spec.membership)
                          : 1;
-    gint64 most_ms = MIN(routers * LIST_SPREAD_MS, LIST_SPREAD_MOST_MS);
-    return Random_below((guint32)most_ms);
+    gint64 max_ms = MIN(routers * LIST_SPREAD_MS, LIST_SPREAD_MAX_MS);
+    return Random_below((guint32)max_ms);
 }
 
-/* Entries that it has lost are written again, as after any outage; until they
- * are, the upstreams that are known stay in use. */
+/* The store was restored from an older copy. Entries that it lost are written
+ * again, as after any outage; until then the known upstreams stay in use. */
 static void
-on_store_back(void *owner)
+on_epoch_rise(void *owner)
 {
     UpstreamListing_t *this = owner;
-    this->regained_ms = Clock_nowMs();
-    RecordFollower_beginEpoch(this->follower, spread_ms(this));
+    this->restored_ms = Clock_nowMs();
+    RecordFollower_beginEpoch(this->follower, list_spread_ms(this));
     if (this->exchange) {
         ListExchange_startQueries(this->exchange);
     }
 }
 
-/* What a read brings: all heartbeats, or what peers have told the end of. */
+/* Expected entries of a read: all heartbeats, or the records up to the end
+ * that peers have sent, if those are more. */
 static gint64
-entries_missing(const UpstreamListing_t *this)
+count_missing_entries(const UpstreamListing_t *this)
 {
     StorePosition_t known = RecordFollower_position(this->follower);
-    gint64 behind = (gint64)(this->ahead.offset - known.offset);
+    gint64 behind = (gint64)(this->peer_end.offset - known.offset);
     gboolean comparable =
-        known.offset > 0 && this->ahead.epoch == known.epoch && behind > 0;
+        known.offset > 0 && this->peer_end.epoch == known.epoch && behind > 0;
     return MAX(ListCopy_countKeys(this->copy), comparable ? behind : 1);
 }
 
-/* Ranks beyond those that the store bears at once take turns of their own,
- * and only where nobody has told anything. */
+/* Routers whose ranks exceed what the store serves at once read later, one
+ * rank after the other, and only if no peer has sent updates. */
 static gint64
-turn_ms(const UpstreamListing_t *this)
+read_due_ms(const UpstreamListing_t *this)
 {
     gint64 rank = Membership_localRank(this->spec.membership, RANK_KEY, NULL);
-    gint64 beyond = rank - ENTRIES_AT_ONCE / entries_missing(this);
+    gint64 excess = rank - ENTRIES_AT_ONCE_MAX / count_missing_entries(this);
     gint64 last_ms =
-        MAX(MAX(this->current_ms, this->told_ms), this->called_ms);
-    return beyond > 0 ? last_ms + this->spec.poll_ms + beyond * READ_STEP_MS
+        MAX(MAX(this->current_ms, this->peer_update_ms), this->called_ms);
+    return excess > 0 ? last_ms + this->spec.poll_ms + excess * READ_STEP_MS
                       : 0;
 }
 
-/* A call that fails shows that the store has too much to do, or that it is
- * away. Where the store bears the reads of all, each has its turn in the time
- * in which a leaving must be known: peers may not know what it missed. */
+/* After a failed call the store is overloaded or unreachable. If it can serve
+ * the reads of all routers at once, each router retries within poll_ms, the
+ * time in which a leaving upstream must be known, as peers may not know the
+ * records that it missed. */
 static gint64
-retry_turn_ms(const UpstreamListing_t *this)
+retry_due_ms(const UpstreamListing_t *this)
 {
     gint64 rank = Membership_localRank(this->spec.membership, RANK_KEY, NULL);
     gint64 routers = Membership_countActive(this->spec.membership);
-    gboolean bears = ListCopy_countKeys(this->copy) > 0 &&
-                     routers * entries_missing(this) <= ENTRIES_AT_ONCE;
-    gint64 step_ms = READ_STEP_MS << MIN(this->retries, RETRY_DOUBLINGS);
-    gint64 after_ms =
-        bears ? MIN(rank * READ_STEP_MS, this->spec.poll_ms) : rank * step_ms;
-    return MAX(this->called_ms, this->told_ms) + after_ms;
+    gboolean can_serve_all =
+        ListCopy_countKeys(this->copy) > 0 &&
+        routers * count_missing_entries(this) <= ENTRIES_AT_ONCE_MAX;
+    gint64 step_ms = READ_STEP_MS << MIN(this->retries, RETRY_DOUBLINGS_MAX);
+    gint64 after_ms = can_serve_all
+                          ? MIN(rank * READ_STEP_MS, this->spec.poll_ms)
+                          : rank * step_ms;
+    return MAX(this->called_ms, this->peer_update_ms) + after_ms;
 }
 
 static gint64
-turn_wait_ms(UpstreamListing_t *this)
+read_wait_ms(UpstreamListing_t *this)
 {
     gint64 now_ms = Clock_nowMs();
     if (!Membership_isComplete(this->spec.membership)) {
-        return SETTLED_LOOK_MS;
+        return MEMBERSHIP_CHECK_MS;
     }
     gboolean lost = RecordFollower_isLost(this->follower);
-    gint64 due_ms = lost ? retry_turn_ms(this) : turn_ms(this);
+    gint64 due_ms = lost ? retry_due_ms(this) : read_due_ms(this);
     if (due_ms > now_ms) {
         return due_ms - now_ms;
     }
@@ -693,21 +711,21 @@
 }
 
 static gint64
-wait_ms(void *owner, gboolean lists)
+call_wait_ms(void *owner, gboolean lists)
 {
     UpstreamListing_t *this = owner;
     if (!this->exchange) {
         return 0;
     }
     return lists ? ListExchange_msUntilStoreRead(this->exchange)
-                 : turn_wait_ms(this);
+                 : read_wait_ms(this);
 }
 
 static const RecordFollowerEvents_t follower_events = {
     .record = on_record,
     .current = on_current,
-    .restored = on_regained,
-    .wait_ms = wait_ms,
+    .restored = on_restored,
+    .wait_ms = call_wait_ms,
     .gap = on_gap,
 };
 
@@ -722,7 +740,7 @@
     };
     this->exchange = ListExchange_create(base, &spec, this->copy);
     ListExchange_setFollower(this->exchange, this->follower);
-    Clock_arm(this->settled, SETTLED_LOOK_MS);
+    Clock_arm(this->membership_timer, MEMBERSHIP_CHECK_MS);
 }
 
 UpstreamListing_t *
@@ -733,7 +751,7 @@
     this->spec = *spec;
     this->missing =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    this->seen =
+    this->entry_hashes =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     this->samples =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -741,8 +759,8 @@
     this->relay = RecordRelay_create(spec->membership, spec->topic);
     this->copy = ListCopy_create();
     this->gap_peer = g_string_new(NULL);
-    this->return_over = Clock_timer(base, on_return_over, this);
-    this->settled = Clock_timer(base, on_settled, this);
+    this->return_timer = Clock_timer(base, on_return_timer, this);
+    this->membership_timer = Clock_timer(base, on_membership_timer, this);
     RecordFollowerSpec_t follow = {
         .source = spec->source,
         .topic = spec->topic,
@@ -751,7 +769,7 @@
     };
     this->follower =
         RecordFollower_create(base, &follow, &follower_events, this);
-    StoreEpoch_addListener(spec->epoch, on_store_back, this);
+    StoreEpoch_addListener(spec->epoch, on_epoch_rise, this);
     if (spec->membership) {
         create_exchange(this, base);
     }
@@ -778,28 +796,28 @@
     g_string_free(this->gap_peer, TRUE);
     RecordRelay_destroy(this->relay);
     DepartedUpstreams_destroy(this->departed);
-    event_free(this->return_over);
-    event_free(this->settled);
+    event_free(this->return_timer);
+    event_free(this->membership_timer);
     g_hash_table_destroy(this->missing);
-    g_hash_table_destroy(this->seen);
+    g_hash_table_destroy(this->entry_hashes);
     g_hash_table_destroy(this->samples);
     g_free(this);
 }
 
 void
-UpstreamListing_takeAsk(UpstreamListing_t *this, Member_t *from,
-                        const Wt__ListAsk *ask)
+UpstreamListing_answerListQuery(UpstreamListing_t *this, Member_t *from,
+                                const Wt__ListAsk *query)
 {
-    ListExchange_answerQuery(this->exchange, from, ask);
+    ListExchange_answerQuery(this->exchange, from, query);
 }
 
 void
-UpstreamListing_takePage(UpstreamListing_t *this, Member_t *from,
-                         const Wt__ListPage *page)
+UpstreamListing_receivePage(UpstreamListing_t *this, Member_t *from,
+                            const Wt__ListPage *page)
 {
-    this->feeding = TRUE;
+    this->is_from_peer = TRUE;
     ListExchange_receivePage(this->exchange, from, page);
-    this->feeding = FALSE;
+    this->is_from_peer = FALSE;
 }
 
 gboolean
--- a/src/UpstreamListing.h
+++ b/src/UpstreamListing.h
@@ -3,11 +3,12 @@
 /**
  * DOC: UpstreamListing
  *
- * Keeps an UpstreamSet in step with the platform's list of live and leaving
- * upstreams. An upstream that is gone from the list gets no new work, but
- * for a while after the list itself was out of reach: entries lapse in an
- * outage and come back soon after it. Routers tell each other what they read
- * of it; each reads for itself only where it is told nothing.
+ * Keeps an UpstreamSet in sync with the platform's list of live and leaving
+ * upstreams. An upstream that is missing from the list gets no new requests.
+ * For a grace period after an outage of the list missing upstreams stay in
+ * use, because entries expire in an outage and are written again soon after.
+ * A router forwards the records that it reads to its peers, and reads the list
+ * itself only if its peers have sent nothing.
  */
 #include "HallRegions.h"
 #include "HintFlood.h"
@@ -18,19 +19,22 @@
 #include "UpstreamSet.h"
 
 /**
- * struct UpstreamListingSpec_t - what it needs; all must outlive it
- * @source: of the list
- * @topic: of the list
- * @decode: reads an entry
- * @upstreams: kept in step
- * @membership: told of what is read and of those that leave; NULL for none,
- *     as in module tests
- * @hints: by which routers hear of weights; NULL for none, as in module tests
- * @epoch: of the store
- * @counters: for calls to the store; NULL for none, as in module tests
- * @regions: of the halls that upstreams stand in
- * @poll_ms: oldest that the knowledge of the list may be when it is read
- * @return_ms: how long after an outage a missing entry may still come back
+ * struct UpstreamListingSpec_t - dependencies and timing; all objects must
+ * outlive the UpstreamListing_t
+ * @source: source of the list
+ * @topic: topic of the list
+ * @decode: decodes an entry
+ * @upstreams: the set to keep in sync
+ * @membership: links to the peers, and notified of changed upstreams; NULL for
+ *     none, as in module tests
+ * @hints: sends changed weights to the peers; NULL for none, as in module
+ *     tests
+ * @epoch: epoch of the store
+ * @counters: counters of calls to the store; NULL for none, as in module tests
+ * @regions: regions of the upstreams' halls
+ * @poll_ms: maximum age of the known state of the list before it is read again
+ * @return_ms: grace period after an outage in which a missing entry may be
+ *     listed again
  */
 typedef struct {
     RecordSource_t *source;
@@ -49,38 +53,38 @@
 /** struct UpstreamListing_t - opaque */
 typedef struct UpstreamListing UpstreamListing_t;
 
-/** UpstreamListing_create() - start to follow the list */
+/** UpstreamListing_create() - start following the list */
 UpstreamListing_t *UpstreamListing_create(struct event_base *base,
                                           const UpstreamListingSpec_t *spec);
 
-/** UpstreamListing_setTimes() - for reads and outages from now on, as for
- * create */
+/** UpstreamListing_setTimes() - change poll_ms and return_ms of the spec for
+ * later reads and outages */
 void UpstreamListing_setTimes(UpstreamListing_t *this, gint64 poll_ms,
                               gint64 return_ms);
 
 /** UpstreamListing_destroy() - free it; its source must be freed first */
 void UpstreamListing_destroy(UpstreamListing_t *this);
 
-/** UpstreamListing_take() - a peer tells what it has read of the list; @from
- * is asked for what is missing before it, NULL for nobody */
-void UpstreamListing_take(UpstreamListing_t *this, Member_t *from,
-                          const Wt__TopicPart *message);
+/** UpstreamListing_receive() - apply records of the list from a peer; records
+ * missing before them are queried from @from, or from no peer if it is NULL */
+void UpstreamListing_receive(UpstreamListing_t *this, Member_t *from,
+                             const Wt__TopicPart *message);
 
-/** UpstreamListing_answer() - a peer asks for what is missing */
-void UpstreamListing_answer(const UpstreamListing_t *this, Member_t *from,
-                            const Wt__TopicAsk *ask);
+/** UpstreamListing_answerQuery() - send a peer the records that it lacks */
+void UpstreamListing_answerQuery(const UpstreamListing_t *this, Member_t *from,
+                                 const Wt__TopicAsk *query);
 
-/** UpstreamListing_takeAsk() - a peer asks for a page of the list; only with
- * a membership */
-void UpstreamListing_takeAsk(UpstreamListing_t *this, Member_t *from,
-                             const Wt__ListAsk *ask);
+/** UpstreamListing_answerListQuery() - answer a peer's query for a page of the
+ * list; only with a membership */
+void UpstreamListing_answerListQuery(UpstreamListing_t *this, Member_t *from,
+                                     const Wt__ListAsk *query);
 
-/** UpstreamListing_takePage() - a peer tells a page that it was asked for;
- * only with a membership */
-void UpstreamListing_takePage(UpstreamListing_t *this, Member_t *from,
-                              const Wt__ListPage *page);
+/** UpstreamListing_receivePage() - apply a queried page of the list from a
+ * peer; only with a membership */
+void UpstreamListing_receivePage(UpstreamListing_t *this, Member_t *from,
+                                 const Wt__ListPage *page);
 
-/** UpstreamListing_isKnown() - whether some of the list was read */
+/** UpstreamListing_isKnown() - whether any part of the list has been read */
 gboolean UpstreamListing_isKnown(const UpstreamListing_t *this);
 
 #endif
--- a/src/UpstreamProber.c
+++ b/src/UpstreamProber.c
@@ -4,18 +4,18 @@
 #include "HttpCall.h"
 #include "Log.h"
 
-/* How often upstreams are looked through for suspects. */
+/* Interval at which the set is searched for suspected upstreams. */
 #define TICK_MS 100
-/* Routers that ask an upstream which a peer did not reach: one of them may be
- * gone and one cut off. */
+/* Number of routers that probe an upstream suspected by a peer: one of them
+ * may have departed and another one may be cut off. */
 #define PROBERS 3
-/* How long the others wait for the word of those: as long as three probes of
- * them take, the first two of which were not answered. */
-#define PROBERS_PATIENCE_MS 2500
-/* A suspect that stays silent is asked again after a pause that doubles from
- * the first to the last of these. */
+/* How long the other routers wait for the result of those: the time of three
+ * probes, of which the first two are not answered. */
+#define PROBERS_TIMEOUT_MS 2500
+/* Pause after the first unanswered probe; it doubles with each further one, up
+ * to this many times. */
 #define FIRST_PAUSE_MS 250
-#define MAX_PAUSE_DOUBLINGS 4
+#define PAUSE_DOUBLINGS_MAX 4
 
 struct UpstreamProber {
     struct event_base *base;
@@ -30,8 +30,8 @@
     NoticeOrigin_t origin;
     HttpCall_t *call; /* NULL during a pause */
     gint64 next_ms;
-    gint64 heard_until_ms; /* peers are to ask before, not this router */
-    guint asked;
+    gint64 peers_until_ms; /* until then only other routers probe */
+    guint probe_count;
 } Probe_t;
 
 static void
@@ -51,12 +51,12 @@
     Log_begin(LOG_LEVEL_INFO, event);
     Log_text("upstream", probe->upstream->name->str);
     Log_text("reason", reason);
-    Log_number("asked", probe->asked);
+    Log_number("asked", probe->probe_count);
     Log_end();
 }
 
 static void
-tell_reached(const Probe_t *probe)
+broadcast_reachable(const Probe_t *probe)
 {
     Hint_t hint = {.kind = HINT_REACHABLE, .subject = probe->upstream->hash};
     if (Upstream_resolveSuspicion(probe->upstream)) {
@@ -64,7 +64,7 @@
     }
 }
 
-/* Any answer shows that it can be reached, which is all that was in doubt. */
+/* Any answer, whatever its status, shows that the upstream is reachable. */
 static void
 on_answer(const HttpAnswer_t *answer, const GError *error, void *data)
 {
@@ -74,21 +74,21 @@
         Upstream_noteReachable(probe->upstream, Clock_nowMs());
         UpstreamNotices_applyAnswer(probe->owner->spec.notices, &probe->origin,
                                     answer);
-        tell_reached(probe);
+        broadcast_reachable(probe);
         log_probe(probe, "upstream_reached", "answered");
         return;
     }
-    /* It may have answered a request in the meantime. */
+    /* The upstream may have answered a request in the meantime. */
     probe->upstream->unanswered += probe->upstream->suspect ? 1 : 0;
-    guint doublings = MIN(probe->asked, MAX_PAUSE_DOUBLINGS);
+    guint doublings = MIN(probe->probe_count, PAUSE_DOUBLINGS_MAX);
     probe->next_ms = Clock_nowMs() + (FIRST_PAUSE_MS << doublings);
-    if (probe->asked <= 1) {
+    if (probe->probe_count <= 1) {
         log_probe(probe, "upstream_silent", error->message);
     }
 }
 
-/* An engine tells its state without a place in its queue, which its health
- * check would wait for. */
+/* Engines are probed at the path of their state: unlike a health check it does
+ * not wait in the engine's queue. */
 static const char *
 probe_path(const UpstreamProber_t *this, const Upstream_t *upstream)
 {
@@ -105,7 +105,7 @@
 }
 
 static void
-ask(UpstreamProber_t *this, Probe_t *probe)
+send_probe(UpstreamProber_t *this, Probe_t *probe)
 {
     HttpHeader_t headers[] = {
         {this->spec.instance_header, probe->upstream->name->str},
@@ -118,14 +118,14 @@
         .headers = headers,
         .timeout_ms = this->spec.timeout_ms,
     };
-    probe->asked++;
+    probe->probe_count++;
     probe->origin = NoticeOrigin_begin(probe->upstream, NULL);
     Counters_add(this->spec.counters, "upstream_probes_total", NULL, 1);
     probe->call = HttpCall_start(this->base, &spec, on_answer, probe);
 }
 
 static gboolean
-is_over(gpointer key, gpointer data, gpointer user)
+is_finished(gpointer key, gpointer data, gpointer user)
 {
     (void)key;
     (void)user;
@@ -134,9 +134,9 @@
            (!probe->upstream->suspect || probe->upstream->removed);
 }
 
-/* A doubt that came from a peer has been passed on already. */
+/* A peer's suspicion has been forwarded already when it was received. */
 static void
-tell_peers(const UpstreamProber_t *this, Upstream_t *upstream)
+broadcast_suspicion(const UpstreamProber_t *this, Upstream_t *upstream)
 {
     Hint_t hint = {.kind = HINT_UNREACHABLE, .subject = upstream->hash};
     if (Upstream_noteSuspicionReport(upstream, Clock_nowMs())) {
@@ -158,7 +158,7 @@
     probe->owner = this;
     probe->upstream = Upstream_ref(upstream);
     if (upstream->suspected_by_peer && !is_prober(this, upstream)) {
-        probe->heard_until_ms = Clock_nowMs() + PROBERS_PATIENCE_MS;
+        probe->peers_until_ms = Clock_nowMs() + PROBERS_TIMEOUT_MS;
     }
     return probe;
 }
@@ -168,10 +168,10 @@
 {
     gint64 now_ms = Clock_nowMs();
     gboolean left_to_peers =
-        probe->upstream->suspected_by_peer && now_ms < probe->heard_until_ms;
-    gboolean rests =
+        probe->upstream->suspected_by_peer && now_ms < probe->peers_until_ms;
+    gboolean is_backed_off =
         UpstreamBackoff_leftMs(&probe->upstream->backoff, now_ms) > 0;
-    return !probe->call && !left_to_peers && !rests &&
+    return !probe->call && !left_to_peers && !is_backed_off &&
            now_ms >= probe->next_ms;
 }
 
@@ -187,7 +187,7 @@
         }
         g_hash_table_insert(this->probes, upstream,
                             create_probe(this, upstream));
-        tell_peers(this, upstream);
+        broadcast_suspicion(this, upstream);
     }
 }
 
@@ -200,12 +200,12 @@
     GHashTableIter iter;
     gpointer value = NULL;
     find_suspects(this);
-    g_hash_table_foreach_remove(this->probes, is_over, NULL);
+    g_hash_table_foreach_remove(this->probes, is_finished, NULL);
     g_hash_table_iter_init(&iter, this->probes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         Probe_t *probe = value;
         if (is_due(probe)) {
-            ask(this, probe);
+            send_probe(this, probe);
         }
     }
     Clock_arm(this->tick, TICK_MS);
--- a/src/UpstreamProber.h
+++ b/src/UpstreamProber.h
@@ -3,26 +3,29 @@
 /**
  * DOC: UpstreamProber
  *
- * Asks upstreams that were not reached for their health before they get work
- * again, so that no request has to find out. Peers are told of one that this
- * router did not reach; a few of them ask as well and tell the others when
- * it answers. The others ask only if they are told nothing.
+ * Probes upstreams that were unreachable before requests are sent to them
+ * again, so that no request has to find out. The peers are notified of an
+ * upstream that this router could not reach. The three routers of the
+ * lowest ranks probe it as well and notify the others when it answers; the
+ * others probe it only if they receive no such notification in time.
  */
 #include "HintFlood.h"
 #include "RouteTable.h"
 #include "UpstreamNotices.h"
 
 /**
- * struct UpstreamProberSpec_t - what it needs; all must outlive it
- * @upstreams: that are looked through for suspects
- * @routes: tell where a service's upstreams answer for their health
- * @hints: tells peers of suspects
- * @membership: tells who is to ask on a peer's word
- * @counters: for probes
- * @notices: take in what answers say of their upstreams; or NULL
- * @state_path: where an engine tells its state
- * @instance_header: names the upstream that a probe is meant for, or NULL
- * @timeout_ms: for one probe
+ * struct UpstreamProberSpec_t - dependencies and settings; all objects must
+ * outlive the UpstreamProber_t
+ * @upstreams: set that is searched for suspected upstreams
+ * @routes: provide the health check path of a service
+ * @hints: notifies the peers of suspected and of reachable upstreams
+ * @membership: ranks the routers that probe when a peer suspects an upstream
+ * @counters: counters of probes
+ * @notices: applies the notices in the answers to probes; or NULL
+ * @state_path: path at which an engine reports its state
+ * @instance_header: header that names the upstream that a probe is meant for,
+ *     or NULL
+ * @timeout_ms: timeout of one probe
  */
 typedef struct {
     UpstreamSet_t *upstreams;
@@ -39,11 +42,11 @@
 /** struct UpstreamProber_t - opaque */
 typedef struct UpstreamProber UpstreamProber_t;
 
-/** UpstreamProber_create() - start to look for suspects */
+/** UpstreamProber_create() - start checking for suspected upstreams */
 UpstreamProber_t *UpstreamProber_create(struct event_base *base,
                                         const UpstreamProberSpec_t *spec);
 
-/** UpstreamProber_setTimeout() - for the probes from now on */
+/** UpstreamProber_setTimeout() - change the timeout of later probes */
 void UpstreamProber_setTimeout(UpstreamProber_t *this, gint64 timeout_ms);
 
 /** UpstreamProber_destroy() - cancel all probes and free it */
--- a/src/UpstreamSet.c
+++ b/src/UpstreamSet.c
@@ -8,13 +8,13 @@
     struct event_base *base;
     guint idle_max;
     guint64 generation;
-    guint64 revision;    /* of the declarations that were taken */
-    GHashTable *by_name; /* name -> Upstream_t, one reference each */
-    GHashTable *by_hash; /* &hash -> Upstream_t, of all */
-    gboolean is_stale;   /* a listing has changed since the last index */
+    guint64 revision;    /* of the applied declarations */
+    GHashTable *by_name; /* name -> Upstream_t, holds a reference */
+    GHashTable *by_hash; /* &hash -> Upstream_t */
+    gboolean is_stale;   /* listed upstreams changed since the indexing */
     GPtrArray *all;
     GHashTable *serving; /* "role/target" -> GPtrArray of Upstream_t */
-    GPtrArray *none;
+    GPtrArray *empty;
     UpstreamSetAdded_t added; /* or NULL */
     void *added_owner;
 };
@@ -43,12 +43,13 @@
     this->all = g_ptr_array_new();
     this->serving =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, unref_array);
-    this->none = g_ptr_array_new();
+    this->empty = g_ptr_array_new();
     return this;
 }
 
 void
-UpstreamSet_onAdded(UpstreamSet_t *this, UpstreamSetAdded_t added, void *owner)
+UpstreamSet_setAddedCallback(UpstreamSet_t *this, UpstreamSetAdded_t added,
+                             void *owner)
 {
     this->added = added;
     this->added_owner = owner;
@@ -72,13 +73,14 @@
     g_hash_table_destroy(this->serving);
     g_hash_table_destroy(this->by_hash);
     g_ptr_array_unref(this->all);
-    g_ptr_array_unref(this->none);
+    g_ptr_array_unref(this->empty);
     g_hash_table_destroy(this->by_name);
     g_free(this);
 }
 
 static gboolean
-same_place(const Upstream_t *upstream, const UpstreamSpec_t *spec)
+has_same_address_and_role(const Upstream_t *upstream,
+                          const UpstreamSpec_t *spec)
 {
     return strcmp(upstream->address.host, spec->address.host) == 0 &&
            upstream->address.port == spec->address.port &&
@@ -95,12 +97,13 @@
     upstream->serves = g_ptr_array_ref(spec->serves);
 }
 
-/* What is known of an upstream stays unless it is at another place now. */
+/* An upstream with another address or role is a new one: the state of the old
+ * one does not apply to it. */
 static Upstream_t *
 put_upstream(UpstreamSet_t *this, const char *name, const UpstreamSpec_t *spec)
 {
     Upstream_t *old = g_hash_table_lookup(this->by_name, name);
-    if (old && same_place(old, spec)) {
+    if (old && has_same_address_and_role(old, spec)) {
         update_upstream(old, spec);
         return old;
     }
@@ -117,7 +120,7 @@
 }
 
 static gboolean
-drop_undeclared(gpointer name, gpointer upstream, gpointer config)
+remove_undeclared(gpointer name, gpointer upstream, gpointer config)
 {
     if (ConfigStore_find(config, OBJECT_UPSTREAM, name)) {
         return FALSE;
@@ -156,7 +159,7 @@
 }
 
 void
-UpstreamSet_follow(UpstreamSet_t *this, const ConfigStore_t *config)
+UpstreamSet_applyDeclarations(UpstreamSet_t *this, const ConfigStore_t *config)
 {
     guint64 revision = ConfigStore_kindRevision(config, OBJECT_UPSTREAM);
     if (revision == this->revision) {
@@ -167,7 +170,7 @@
     g_ptr_array_set_size(this->all, 0);
     g_hash_table_remove_all(this->by_hash);
     g_hash_table_remove_all(this->serving);
-    g_hash_table_foreach_remove(this->by_name, drop_undeclared,
+    g_hash_table_foreach_remove(this->by_name, remove_undeclared,
                                 (gpointer)config);
     g_autoptr(GPtrArray) objects = ConfigStore_list(config, OBJECT_UPSTREAM);
     for (guint i = 0; i < objects->len; i++) {
@@ -186,7 +189,7 @@
 }
 
 static void
-index_listed(UpstreamSet_t *this)
+rebuild_indexes(UpstreamSet_t *this)
 {
     GHashTableIter iter;
     gpointer upstream = NULL;
@@ -205,16 +208,16 @@
     }
 }
 
-/* A list of thousands comes entry by entry: it is put in order once, when it
- * is asked for; until then what is in order may name upstreams that are
- * freed. The set seems the same to who asks, so that it is const. */
+/* A list of thousands of upstreams arrives entry by entry, so the indexes are
+ * rebuilt only when they are next read; until then they may refer to freed
+ * upstreams. Rebuilding does not change what callers see, hence the const. */
 static void
-refresh(const UpstreamSet_t *set)
+refresh_indexes(const UpstreamSet_t *set)
 {
     UpstreamSet_t *this = (UpstreamSet_t *)set;
     if (this->is_stale) {
         this->is_stale = FALSE;
-        index_listed(this);
+        rebuild_indexes(this);
     }
 }
 
@@ -223,14 +226,14 @@
                 const UpstreamSpec_t *spec)
 {
     const Upstream_t *old = UpstreamSet_find(this, name);
-    gboolean same =
-        old && same_place(old, spec) && Names_equal(old->serves, spec->serves);
-    this->is_stale = this->is_stale || !same;
+    gboolean is_indexed = old && has_same_address_and_role(old, spec) &&
+                          Names_equal(old->serves, spec->serves);
+    this->is_stale = this->is_stale || !is_indexed;
     return put_upstream(this, name, spec);
 }
 
 void
-UpstreamSet_drop(UpstreamSet_t *this, const char *name)
+UpstreamSet_remove(UpstreamSet_t *this, const char *name)
 {
     Upstream_t *upstream = UpstreamSet_find(this, name);
     if (!upstream) {
@@ -248,32 +251,32 @@
 }
 
 Upstream_t *
-UpstreamSet_findHash(const UpstreamSet_t *this, guint64 hash)
+UpstreamSet_findByHash(const UpstreamSet_t *this, guint64 hash)
 {
-    refresh(this);
+    refresh_indexes(this);
     return g_hash_table_lookup(this->by_hash, &hash);
 }
 
 const GPtrArray *
-UpstreamSet_serving(const UpstreamSet_t *this, UpstreamRole_t role,
-                    const char *target)
+UpstreamSet_findServing(const UpstreamSet_t *this, UpstreamRole_t role,
+                        const char *target)
 {
-    refresh(this);
+    refresh_indexes(this);
     g_autofree char *key = serving_key(role, target);
     const GPtrArray *list = g_hash_table_lookup(this->serving, key);
-    return list ? list : this->none;
+    return list ? list : this->empty;
 }
 
 const GPtrArray *
 UpstreamSet_all(const UpstreamSet_t *this)
 {
-    refresh(this);
+    refresh_indexes(this);
     return this->all;
 }
 
 guint64
 UpstreamSet_generation(const UpstreamSet_t *this)
 {
-    refresh(this);
+    refresh_indexes(this);
     return this->generation;
 }
--- a/tests/test_DepartedUpstreams.c
+++ b/tests/test_DepartedUpstreams.c
@@ -4,6 +4,7 @@
 #include "UpstreamSet.h"
 
 #define NAME "a"
+/* Longer than a departed upstream is retained. */
 #define LATER_MS 400000
 
 static struct event_base *base;
@@ -27,7 +28,8 @@
 }
 
 static void
-note(const char *name, guint64 incarnation, gboolean leaving, gint64 now_ms)
+note_departed(const char *name, guint64 incarnation, gboolean leaving,
+              gint64 now_ms)
 {
     UpstreamSpec_t spec = {
         .hall = g_string_new("h"),
@@ -43,65 +45,66 @@
     g_ptr_array_unref(spec.serves);
 }
 
-START_TEST(an_older_list_does_not_bring_it_back)
+START_TEST(an_older_list_does_not_restore_a_departed_upstream)
 {
     begin();
-    note(NAME, 5, TRUE, 0);
-    note("b", 5, FALSE, 0);
-    ck_assert_int_eq(DepartedUpstreams_find(departed, NAME, 5, 2),
+    note_departed(NAME, 5, TRUE, 0);
+    note_departed("b", 5, FALSE, 0);
+    ck_assert_int_eq(DepartedUpstreams_check(departed, NAME, 5, 2),
                      DEPARTED_LEFT);
-    ck_assert_int_eq(DepartedUpstreams_find(departed, NAME, 4, 2),
+    ck_assert_int_eq(DepartedUpstreams_check(departed, NAME, 4, 2),
                      DEPARTED_LEFT);
-    ck_assert_int_eq(DepartedUpstreams_find(departed, "b", 5, 2),
+    ck_assert_int_eq(DepartedUpstreams_check(departed, "b", 5, 2),
                      DEPARTED_LAPSED);
-    ck_assert_int_eq(DepartedUpstreams_find(departed, "c", 5, 2),
+    ck_assert_int_eq(DepartedUpstreams_check(departed, "c", 5, 2),
                      DEPARTED_NOT);
     end();
 }
 END_TEST
 
-START_TEST(a_new_start_or_the_same_epoch_is_believed)
+START_TEST(an_entry_of_a_later_incarnation_or_the_same_epoch_is_valid)
 {
     begin();
-    note(NAME, 5, TRUE, 0);
-    note("b", 5, FALSE, 0);
-    ck_assert_int_eq(DepartedUpstreams_find(departed, NAME, 6, 2),
+    note_departed(NAME, 5, TRUE, 0);
+    note_departed("b", 5, FALSE, 0);
+    ck_assert_int_eq(DepartedUpstreams_check(departed, NAME, 6, 2),
                      DEPARTED_NOT);
-    ck_assert_int_eq(DepartedUpstreams_find(departed, "b", 5, 1),
+    ck_assert_int_eq(DepartedUpstreams_check(departed, "b", 5, 1),
                      DEPARTED_NOT);
-    DepartedUpstreams_forget(departed, NAME);
-    ck_assert_int_eq(DepartedUpstreams_find(departed, NAME, 5, 2),
+    DepartedUpstreams_remove(departed, NAME);
+    ck_assert_int_eq(DepartedUpstreams_check(departed, NAME, 5, 2),
                      DEPARTED_NOT);
     end();
 }
 END_TEST
 
-START_TEST(what_said_that_it_leaves_stays_so)
+START_TEST(an_upstream_that_announced_leaving_stays_leaving_until_restart)
 {
     begin();
-    note(NAME, 5, TRUE, 0);
-    ck_assert_int_eq(DepartedUpstreams_find(departed, NAME, 5, 1),
+    note_departed(NAME, 5, TRUE, 0);
+    ck_assert_int_eq(DepartedUpstreams_check(departed, NAME, 5, 1),
                      DEPARTED_LEFT);
-    ck_assert_int_eq(DepartedUpstreams_find(departed, NAME, 6, 1),
+    ck_assert_int_eq(DepartedUpstreams_check(departed, NAME, 6, 1),
                      DEPARTED_NOT);
     end();
 }
 END_TEST
 
-START_TEST(what_departed_long_ago_is_forgotten)
+START_TEST(an_upstream_that_departed_long_ago_is_forgotten)
 {
     begin();
-    note(NAME, 5, TRUE, 0);
-    note("b", 5, TRUE, LATER_MS);
-    ck_assert_int_eq(DepartedUpstreams_find(departed, NAME, 5, 2),
+    note_departed(NAME, 5, TRUE, 0);
+    note_departed("b", 5, TRUE, LATER_MS);
+    ck_assert_int_eq(DepartedUpstreams_check(departed, NAME, 5, 2),
                      DEPARTED_NOT);
-    ck_assert_int_eq(DepartedUpstreams_find(departed, "b", 5, 2),
+    ck_assert_int_eq(DepartedUpstreams_check(departed, "b", 5, 2),
                      DEPARTED_LEFT);
     end();
 }
 END_TEST
 
-TESTING_MAIN("DepartedUpstreams", an_older_list_does_not_bring_it_back,
-             a_new_start_or_the_same_epoch_is_believed,
-             what_said_that_it_leaves_stays_so,
-             what_departed_long_ago_is_forgotten)
+TESTING_MAIN("DepartedUpstreams",
+             an_older_list_does_not_restore_a_departed_upstream,
+             an_entry_of_a_later_incarnation_or_the_same_epoch_is_valid,
+             an_upstream_that_announced_leaving_stays_leaving_until_restart,
+             an_upstream_that_departed_long_ago_is_forgotten)
--- a/tests/test_Dispatch.c
+++ b/tests/test_Dispatch.c
@@ -142,7 +142,7 @@
 static const GPtrArray *
 serving_engines(void)
 {
-    return UpstreamSet_serving(routers.upstreams, ROLE_SERVICE, TARGET);
+    return UpstreamSet_findServing(routers.upstreams, ROLE_SERVICE, TARGET);
 }
 
 static Upstream_t *
@@ -469,7 +469,7 @@
     setup();
     send_query(9, TARGET, 0);
     Upstream_t *engine =
-        UpstreamSet_findHash(routers.upstreams, await_answer(0)->upstream);
+        UpstreamSet_findByHash(routers.upstreams, await_answer(0)->upstream);
     ck_assert_uint_eq(engine->ticket_requests, 1);
     send_update(9, WT__PLACE_STATE__ENDED);
     send_update(9, WT__PLACE_STATE__BEGUN);
--- a/tests/test_ListExchange.c
+++ b/tests/test_ListExchange.c
@@ -203,7 +203,8 @@
     const DelayedAnswer_t *delayed = data;
     Wt__TopicAsk ask = WT__TOPIC_ASK__INIT;
     ask.from = delayed->from;
-    UpstreamListing_answer(delayed->router->listing, delayed->requester, &ask);
+    UpstreamListing_answerQuery(delayed->router->listing, delayed->requester,
+                                &ask);
 }
 
 /* Answers with a delay, as over a busy link. */
@@ -234,17 +235,18 @@
     Router_t *this = taker;
     switch (message->body_case) {
     case WT__PEER_MESSAGE__BODY_LIST_ASK:
-        UpstreamListing_takeAsk(this->listing, from, message->list_ask);
+        UpstreamListing_answerListQuery(this->listing, from,
+                                        message->list_ask);
         break;
     case WT__PEER_MESSAGE__BODY_LIST_PAGE:
-        UpstreamListing_takePage(this->listing, from, message->list_page);
+        UpstreamListing_receivePage(this->listing, from, message->list_page);
         break;
     case WT__PEER_MESSAGE__BODY_TOPIC_ASK:
         delay_answer(this, from, message->topic_ask);
         break;
     case WT__PEER_MESSAGE__BODY_TOPIC_PART:
         records_sent += message->topic_part->n_records;
-        UpstreamListing_take(this->listing, from, message->topic_part);
+        UpstreamListing_receive(this->listing, from, message->topic_part);
         break;
     default:
         break;
--- a/tests/test_UpstreamListing.c
+++ b/tests/test_UpstreamListing.c
@@ -9,17 +9,17 @@
 #include "PeerAge.h"
 #include "UpstreamListing.h"
 
-/* So short that a test need not wait for the next read. */
+/* Short, so that a test need not wait for the next read. */
 #define POLL_MS 1
-/* So long that no test sees its end. */
+/* Longer than any test runs. */
 #define RETURN_MS 600000
-/* More than a message's transit, which adds to its age. */
-#define TOLD_AFTER_US ((PEER_TRANSIT_MAX_MS + 10) * CLOCK_US_PER_MS)
+/* Exceeds PEER_TRANSIT_MAX_MS, which is added to a message's age. */
+#define PEER_DELAY_US ((PEER_TRANSIT_MAX_MS + 10) * CLOCK_US_PER_MS)
 
-/* Upstreams of a long list. */
+/* Length of a long list. */
 #define MANY 500
-/* Times that the set may be put in order for one target and one question. */
-#define ORDERED_MOST 4
+/* Maximum number of index rebuilds for one target and one look-up. */
+#define REBUILDS_MAX 4
 
 static FakeSource_t source;
 static StoreEpoch_t *epoch;
@@ -28,9 +28,8 @@
 static HallRegions_t *regions;
 static guint decoded;
 
-/* An entry's value is the target that the upstream serves, and behind a colon
- * the number of its start; "!" names no upstream. Its target is also its hall.
- */
+/* Entries have the form TARGET[:INCARNATION], and the target is also the hall;
+ * an entry that begins with "!" is not a valid upstream. */
 static gboolean
 decode(GBytes *value, ListedUpstream_t *out, GError **error)
 {
@@ -38,14 +37,14 @@
     gsize length = 0;
     const char *text = g_bytes_get_data(value, &length);
     g_autofree char *copy = g_strndup(text, length);
-    char *number = strchr(copy, ':');
+    char *colon = strchr(copy, ':');
     if (*copy == '!') {
         g_set_error(error, WT_ERROR, WT_ERROR_BAD_BODY, "no upstream");
         return FALSE;
     }
-    if (number) {
-        *number = '\0';
-        out->incarnation = g_ascii_strtoull(number + 1, NULL, 10);
+    if (colon) {
+        *colon = '\0';
+        out->incarnation = g_ascii_strtoull(colon + 1, NULL, 10);
     }
     g_ptr_array_add(out->spec.serves, g_string_new(copy));
     g_string_assign(out->spec.hall, copy);
@@ -86,7 +85,7 @@
     event_base_free(base);
 }
 
-/* Answers the next call with one record; @value is NULL for a removal. */
+/* Answers the open call with one record; @value is NULL for a removal. */
 static void
 answer(guint64 offset, const char *key, const char *value)
 {
@@ -98,10 +97,10 @@
 static guint
 serving(const char *target)
 {
-    return UpstreamSet_serving(upstreams, 0, target)->len;
+    return UpstreamSet_findServing(upstreams, 0, target)->len;
 }
 
-/* Answers the next call with a list of so many new upstreams. */
+/* Answers the open call with a list of @count new upstreams. */
 static void
 answer_many(guint64 offset, guint count, const char *target)
 {
@@ -119,22 +118,21 @@
     return &UpstreamSet_find(upstreams, name)->prefill_us_per_token;
 }
 
-/* Symptom: after all of 300 routers had started anew the first answer came
- * after many seconds, and each had used 2 s of processor time. Sequence: a
- * router starts and lists 3,000 upstreams. Cause: for each entry the speed of
- * another upstream of its service was asked for, by which the whole set was
- * put in order anew. Settled by remembering one upstream for each target. */
-START_TEST(a_long_list_is_not_put_in_order_for_each_entry)
+/* A restart of all 300 routers delayed the first answer by many seconds, and
+ * each router used 2 s of CPU time: for each of 3,000 listed upstreams the
+ * speed of another upstream of its service was looked up, which rebuilt the
+ * indexes of the set. Now one upstream per target is cached. */
+START_TEST(a_long_list_does_not_rebuild_the_indexes_for_each_entry)
 {
     UpstreamListing_t *listing = begin();
     answer_many(1, MANY, "m");
     ck_assert_uint_eq(serving("m"), MANY);
-    ck_assert_uint_le(UpstreamSet_generation(upstreams), ORDERED_MOST);
+    ck_assert_uint_le(UpstreamSet_generation(upstreams), REBUILDS_MAX);
     end(listing);
 }
 END_TEST
 
-START_TEST(a_new_upstream_is_as_fast_as_another_of_its_target)
+START_TEST(a_new_upstream_gets_the_speed_of_another_of_its_target)
 {
     UpstreamListing_t *listing = begin();
     answer(1, "a", "m");
@@ -150,7 +148,7 @@
 }
 END_TEST
 
-START_TEST(the_speed_of_one_that_left_or_changed_is_not_taken)
+START_TEST(the_speed_of_a_removed_or_changed_upstream_is_not_used)
 {
     UpstreamListing_t *listing = begin();
     answer(1, "a", "m");
@@ -169,12 +167,12 @@
 END_TEST
 
 static GPtrArray *
-names(const char *one, const char *other)
+create_names(const char *first, const char *second)
 {
-    GPtrArray *found = g_ptr_array_new();
-    g_ptr_array_add(found, g_string_new(one));
-    g_ptr_array_add(found, g_string_new(other));
-    return found;
+    GPtrArray *list = g_ptr_array_new();
+    g_ptr_array_add(list, g_string_new(first));
+    g_ptr_array_add(list, g_string_new(second));
+    return list;
 }
 
 static void
@@ -192,13 +190,13 @@
     return UpstreamSet_find(upstreams, name)->region->str;
 }
 
-/* The holders of the leases of two regions both gave orders to all engines:
- * each router took the engines of the other region for those of its own. */
+/* The lease holders of two regions both sent orders to all engines, because
+ * each router assigned all engines to its own region. */
 START_TEST(an_engine_belongs_to_the_region_of_its_hall)
 {
-    GPtrArray *halls = names("north-a", "south-a");
-    GPtrArray *of_halls = names("north", "south");
-    regions = HallRegions_create(halls, of_halls, "north");
+    GPtrArray *halls = create_names("north-a", "south-a");
+    GPtrArray *hall_regions = create_names("north", "south");
+    regions = HallRegions_create(halls, hall_regions, "north");
     UpstreamListing_t *listing = begin();
     answer(1, "a", "north-a");
     answer(2, "b", "south-a");
@@ -207,12 +205,12 @@
     ck_assert_str_eq(region_of("b"), "south");
     ck_assert_str_eq(region_of("c"), "");
     free_names(halls);
-    free_names(of_halls);
+    free_names(hall_regions);
     end(listing);
 }
 END_TEST
 
-START_TEST(an_entry_that_says_the_same_is_not_read_again)
+START_TEST(an_unchanged_entry_is_not_decoded_again)
 {
     UpstreamListing_t *listing = begin();
     answer(1, "a", "m");
@@ -224,7 +222,7 @@
 }
 END_TEST
 
-START_TEST(entries_are_known_by_their_own_names)
+START_TEST(equal_entries_of_two_upstreams_are_both_decoded)
 {
     UpstreamListing_t *listing = begin();
     answer(1, "a", "m");
@@ -235,7 +233,7 @@
 }
 END_TEST
 
-START_TEST(an_upstream_that_comes_back_with_the_same_entry_serves)
+START_TEST(an_upstream_listed_again_with_the_same_entry_serves)
 {
     UpstreamListing_t *listing = begin();
     answer(1, "a", "m");
@@ -249,7 +247,7 @@
 }
 END_TEST
 
-START_TEST(an_upstream_that_serves_another_target_is_found_for_that_only)
+START_TEST(an_upstream_that_changed_its_target_is_found_for_the_new_one_only)
 {
     UpstreamListing_t *listing = begin();
     answer(1, "a", "m");
@@ -261,10 +259,10 @@
 }
 END_TEST
 
-/* A peer tells of one record after the one at offset 1. */
+/* Passes on a peer's message with one record, the one after offset 1. */
 static void
-tell(UpstreamListing_t *listing, const char *key, const char *value,
-     guint32 regained_age_ms)
+receive_record(UpstreamListing_t *listing, const char *key, const char *value,
+               guint32 regained_age_ms)
 {
     Wt__TopicPart part = WT__TOPIC_PART__INIT;
     Wt__TopicRecord record = WT__TOPIC_RECORD__INIT;
@@ -278,70 +276,67 @@
     part.regained_age_ms = regained_age_ms;
     part.n_records = 1;
     part.records = &records;
-    g_usleep(TOLD_AFTER_US);
-    UpstreamListing_take(listing, NULL, &part);
+    g_usleep(PEER_DELAY_US);
+    UpstreamListing_receive(listing, NULL, &part);
 }
 
-START_TEST(entries_that_a_peer_has_read_are_taken)
+START_TEST(entries_from_a_peer_are_applied)
 {
     UpstreamListing_t *listing = begin();
     answer(1, "a", "m");
-    tell(listing, "b", "m", 0);
+    receive_record(listing, "b", "m", 0);
     ck_assert_uint_eq(serving("m"), 2);
     end(listing);
 }
 END_TEST
 
-START_TEST(a_removal_that_a_peer_has_read_is_taken)
+START_TEST(a_removal_from_a_peer_is_applied)
 {
     UpstreamListing_t *listing = begin();
     answer(1, "a", "m");
-    tell(listing, "a", NULL, 0);
+    receive_record(listing, "a", NULL, 0);
     ck_assert_uint_eq(serving("m"), 0);
     end(listing);
 }
 END_TEST
 
-START_TEST(an_entry_that_lapsed_in_an_outage_may_come_back_also_by_a_peer)
+START_TEST(a_removal_from_a_peer_after_an_outage_keeps_the_upstream)
 {
     UpstreamListing_t *listing = begin();
     answer(1, "a", "m");
-    tell(listing, "a", NULL, 1);
+    receive_record(listing, "a", NULL, 1);
     ck_assert_uint_eq(serving("m"), 1);
     end(listing);
 }
 END_TEST
 
-/* The same outage, after the setting was lowered to nothing. */
-START_TEST(another_time_for_the_return_counts_from_the_next_outage)
+/* The same outage with a grace period that was changed to 0. */
+START_TEST(a_changed_grace_period_applies_from_the_next_outage)
 {
     UpstreamListing_t *listing = begin();
     UpstreamListing_setTimes(listing, POLL_MS, 0);
     answer(1, "a", "m");
-    tell(listing, "a", NULL, 1);
+    receive_record(listing, "a", NULL, 1);
     ck_assert_uint_eq(serving("m"), 0);
     end(listing);
 }
 END_TEST
 
 static Upstream_t *
-upstream_of(const char *name)
+find_upstream(const char *name)
 {
     return UpstreamSet_find(upstreams, name);
 }
 
-/*
- * Symptom: an upstream that had started again under its name was taken to hold
- * what it had held before, stayed ejected, and its orders were not believed.
- * Sequence: it crashes and comes back with the same name and address. Cause:
- * the name alone told one start from another. Settled by the number of its
- * start, which its entry tells.
- */
-START_TEST(an_upstream_that_starts_again_holds_nothing_of_before)
+/* An upstream that crashed and restarted with the same name and address was
+ * assumed to retain its memory, stayed ejected, and the results of its orders
+ * were ignored, as only its name identified it. Its entry's incarnation now
+ * tells the starts apart. */
+START_TEST(a_restarted_upstream_loses_the_state_of_its_former_incarnation)
 {
     UpstreamListing_t *listing = begin();
     answer(1, "a", "m:100");
-    Upstream_t *upstream = upstream_of("a");
+    Upstream_t *upstream = find_upstream("a");
     MemoryMark_t mark = EngineMemory_mark(&upstream->memory);
     upstream->leaving = TRUE;
     upstream->replaced = TRUE;
@@ -351,7 +346,7 @@
     ck_assert(!Upstream_isUsable(upstream, Clock_nowMs()));
     ck_assert(EngineMemory_retains(&upstream->memory, &mark, 1000, 0));
     answer(2, "a", "m:200");
-    ck_assert_ptr_eq(upstream_of("a"), upstream);
+    ck_assert_ptr_eq(find_upstream("a"), upstream);
     ck_assert_uint_eq(upstream->incarnation, 200);
     ck_assert(Upstream_isUsable(upstream, Clock_nowMs()));
     ck_assert(!upstream->replaced);
@@ -362,47 +357,47 @@
 }
 END_TEST
 
-START_TEST(an_older_start_changes_nothing)
+START_TEST(an_older_incarnation_does_not_end_leaving)
 {
     UpstreamListing_t *listing = begin();
     answer(1, "a", "m:200");
-    Upstream_noteLeaving(upstream_of("a"), 200, 0);
+    Upstream_noteLeaving(find_upstream("a"), 200, 0);
     answer(2, "a", "m:100");
     answer(3, "a", "m:200");
-    ck_assert_uint_eq(upstream_of("a")->incarnation, 200);
-    ck_assert(upstream_of("a")->leaving);
+    ck_assert_uint_eq(find_upstream("a")->incarnation, 200);
+    ck_assert(find_upstream("a")->leaving);
     end(listing);
 }
 END_TEST
 
-START_TEST(an_entry_that_names_no_upstream_leaves_the_others)
+START_TEST(an_unreadable_entry_removes_only_its_own_upstream)
 {
     UpstreamListing_t *listing = begin();
     answer(1, "a", "m");
     answer(2, "b", "!");
     ck_assert_uint_eq(serving("m"), 1);
-    ck_assert_ptr_null(upstream_of("b"));
+    ck_assert_ptr_null(find_upstream("b"));
     answer(3, "b", "!");
     ck_assert_uint_eq(decoded, 2);
     answer(4, "b", "m");
     ck_assert_uint_eq(serving("m"), 2);
     answer(5, "a", "!");
     ck_assert_uint_eq(serving("m"), 1);
-    ck_assert_ptr_nonnull(upstream_of("b"));
+    ck_assert_ptr_nonnull(find_upstream("b"));
     answer(6, "a", "m");
     ck_assert_uint_eq(serving("m"), 2);
     end(listing);
 }
 END_TEST
 
-/* A store that has come back older lists an upstream as it was before its last
- * start: at its former address, which may be another one's by now. */
-START_TEST(an_entry_of_a_former_start_changes_nothing)
+/* A store restored from an older copy lists an upstream as it was before its
+ * last start, at an address that another upstream may use by now. */
+START_TEST(an_entry_of_a_former_incarnation_is_ignored)
 {
     UpstreamListing_t *listing = begin();
     answer(0, "a", "t:200");
     answer(1, "a", "u:100");
-    const Upstream_t *upstream = upstream_of("a");
+    const Upstream_t *upstream = find_upstream("a");
     ck_assert_uint_eq(upstream->incarnation, 200);
     const GString *target = g_ptr_array_index(upstream->serves, 0);
     ck_assert_str_eq(target->str, "t");
@@ -411,19 +406,18 @@
 END_TEST
 
 TESTING_MAIN("UpstreamListing",
-             an_upstream_that_starts_again_holds_nothing_of_before,
-             an_older_start_changes_nothing,
-             an_entry_that_names_no_upstream_leaves_the_others,
-             a_long_list_is_not_put_in_order_for_each_entry,
-             a_new_upstream_is_as_fast_as_another_of_its_target,
-             the_speed_of_one_that_left_or_changed_is_not_taken,
+             a_restarted_upstream_loses_the_state_of_its_former_incarnation,
+             an_older_incarnation_does_not_end_leaving,
+             an_unreadable_entry_removes_only_its_own_upstream,
+             a_long_list_does_not_rebuild_the_indexes_for_each_entry,
+             a_new_upstream_gets_the_speed_of_another_of_its_target,
+             the_speed_of_a_removed_or_changed_upstream_is_not_used,
              an_engine_belongs_to_the_region_of_its_hall,
-             an_entry_that_says_the_same_is_not_read_again,
-             entries_are_known_by_their_own_names,
-             an_upstream_that_comes_back_with_the_same_entry_serves,
-             an_upstream_that_serves_another_target_is_found_for_that_only,
-             entries_that_a_peer_has_read_are_taken,
-             a_removal_that_a_peer_has_read_is_taken,
-             an_entry_that_lapsed_in_an_outage_may_come_back_also_by_a_peer,
-             another_time_for_the_return_counts_from_the_next_outage,
-             an_entry_of_a_former_start_changes_nothing)
+             an_unchanged_entry_is_not_decoded_again,
+             equal_entries_of_two_upstreams_are_both_decoded,
+             an_upstream_listed_again_with_the_same_entry_serves,
+             an_upstream_that_changed_its_target_is_found_for_the_new_one_only,
+             entries_from_a_peer_are_applied, a_removal_from_a_peer_is_applied,
+             a_removal_from_a_peer_after_an_outage_keeps_the_upstream,
+             a_changed_grace_period_applies_from_the_next_outage,
+             an_entry_of_a_former_incarnation_is_ignored)
--- a/tests/test_UpstreamProber.c
+++ b/tests/test_UpstreamProber.c
@@ -11,14 +11,17 @@
 #define STATE_PATH "/v1/report"
 #define COUNTER "upstream_probes_total"
 #define MESH 16
-/* So short that a test need not wait long for a probe that is not answered. */
+/* Short, so that a test need not wait long for an unanswered probe. */
 #define TIMEOUT_MS 200
-/* Several looks at the suspects. */
-#define LOOKS_MS 400
-/* The least that a peer's doubt is left to the peers that probe. */
-#define PATIENCE_MS 2500
-/* With so many routers some leave a peer's doubt to others. */
+/* Several checks for suspected upstreams. */
+#define CHECKS_MS 400
+/* Minimum time for which a peer's suspicion is left to the routers that probe.
+ */
+#define PROBERS_TIMEOUT_MS 2500
+/* Enough routers that some leave a peer's suspicion to others. */
 #define MANY 6
+/* Routers of lower ranks probe an upstream that a peer suspects. */
+#define PROBERS 3
 
 static FakeRouters_t routers;
 static RouteTable_t *routes;
@@ -26,26 +29,26 @@
 static UpstreamProber_t *prober;
 static Upstream_t *upstream;
 static struct evhttp *server;
-static struct evhttp_request *held; /* a probe that was not answered yet */
-static gboolean holds;              /* whether probes are answered later */
+static struct evhttp_request *pending; /* the last unanswered probe */
+static gboolean delays_answers;        /* probes are left unanswered */
 static int status;
-static guint asked;
+static guint requests_received;
 
 static void
 on_request(struct evhttp_request *request, void *data)
 {
     (void)data;
     ck_assert_str_eq(evhttp_request_get_uri(request), STATE_PATH);
-    asked++;
-    if (holds) {
-        held = request;
+    requests_received++;
+    if (delays_answers) {
+        pending = request;
         return;
     }
     evhttp_send_reply(request, status, NULL, NULL);
 }
 
 static gboolean
-take_hint(void *owner, const Hint_t *hint)
+receive_hint(void *owner, const Hint_t *hint)
 {
     (void)owner;
     (void)hint;
@@ -71,19 +74,19 @@
     g_ptr_array_unref(spec.serves);
 }
 
-/* The prober of one of the routers. */
+/* Creates @count routers, and the prober of the one at index @local. */
 static void
-begin(guint count, guint which)
+begin(guint count, guint local)
 {
-    holds = FALSE;
-    held = NULL;
+    delays_answers = FALSE;
+    pending = NULL;
     status = HTTP_OK;
-    asked = 0;
+    requests_received = 0;
     FakeRouters_init(&routers, count, MESH);
-    Membership_t *membership = routers.list[which].membership;
+    Membership_t *membership = routers.list[local].membership;
     put_upstream();
     routes = RouteTable_create();
-    hints = HintFlood_create(routers.base, membership, take_hint, NULL);
+    hints = HintFlood_create(routers.base, membership, receive_hint, NULL);
     UpstreamProberSpec_t spec = {.upstreams = routers.upstreams,
                                  .routes = routes,
                                  .hints = hints,
@@ -107,30 +110,30 @@
 }
 
 static guint
-probes(void)
+count_probes(void)
 {
     return (guint)Counters_value(routers.counters, COUNTER, NULL);
 }
 
 static gboolean
-is_reached(const FakeRouters_t *this)
+is_reachable(const FakeRouters_t *this)
 {
     (void)this;
     return !upstream->suspect;
 }
 
 static gboolean
-is_asked(const FakeRouters_t *this)
+is_requested(const FakeRouters_t *this)
 {
     (void)this;
-    return asked > 0;
+    return requests_received > 0;
 }
 
 static gboolean
-is_asked_twice(const FakeRouters_t *this)
+is_requested_twice(const FakeRouters_t *this)
 {
     (void)this;
-    return asked > 1;
+    return requests_received > 1;
 }
 
 static gboolean
@@ -144,219 +147,221 @@
 is_probed(const FakeRouters_t *this)
 {
     (void)this;
-    return probes() > 0;
+    return count_probes() > 0;
 }
 
 static guint
-hints_told(guint which, HintKind_t kind)
+count_sent_hints(guint router, HintKind_t kind)
 {
     guint found = 0;
-    const GPtrArray *told = routers.list[which].told;
-    for (guint i = 0; i < told->len; i++) {
-        const Wt__PeerMessage *message = g_ptr_array_index(told, i);
-        gboolean fits = message->body_case == WT__PEER_MESSAGE__BODY_HINTS;
-        for (guint k = 0; fits && k < message->hints->n_hints; k++) {
+    const GPtrArray *sent = routers.list[router].told;
+    for (guint i = 0; i < sent->len; i++) {
+        const Wt__PeerMessage *message = g_ptr_array_index(sent, i);
+        gboolean is_hints = message->body_case == WT__PEER_MESSAGE__BODY_HINTS;
+        for (guint k = 0; is_hints && k < message->hints->n_hints; k++) {
             found += message->hints->hints[k]->kind == (guint)kind ? 1 : 0;
         }
     }
     return found;
 }
 
-START_TEST(who_is_not_in_doubt_is_not_asked)
+START_TEST(an_upstream_that_is_not_suspected_is_not_probed)
 {
     begin(1, 0);
-    FakeRouters_run(&routers, LOOKS_MS);
-    ck_assert_uint_eq(probes(), 0);
+    FakeRouters_run(&routers, CHECKS_MS);
+    ck_assert_uint_eq(count_probes(), 0);
     end();
 }
 END_TEST
 
-/* It can be reached, which is all that was in doubt. */
-START_TEST(any_answer_ends_a_doubt)
+/* The status does not matter: the answer shows that it is reachable. */
+START_TEST(any_answer_ends_a_suspicion)
 {
     begin(2, 0);
     status = HTTP_SERVUNAVAIL;
     Upstream_noteUnreachable(upstream);
-    FakeRouters_await(&routers, is_reached);
-    FakeRouters_run(&routers, LOOKS_MS);
-    ck_assert_uint_eq(asked, 1);
-    ck_assert_uint_eq(hints_told(1, HINT_UNREACHABLE), 1);
-    ck_assert_uint_eq(hints_told(1, HINT_REACHABLE), 1);
+    FakeRouters_await(&routers, is_reachable);
+    FakeRouters_run(&routers, CHECKS_MS);
+    ck_assert_uint_eq(requests_received, 1);
+    ck_assert_uint_eq(count_sent_hints(1, HINT_UNREACHABLE), 1);
+    ck_assert_uint_eq(count_sent_hints(1, HINT_REACHABLE), 1);
     end();
 }
 END_TEST
 
-START_TEST(a_doubt_that_comes_again_starts_no_second_probe)
+START_TEST(a_repeated_suspicion_starts_no_second_probe)
 {
     begin(2, 0);
-    holds = TRUE;
+    delays_answers = TRUE;
     Upstream_noteUnreachable(upstream);
-    FakeRouters_await(&routers, is_asked);
+    FakeRouters_await(&routers, is_requested);
     Upstream_noteUnreachable(upstream);
     Upstream_notePeerSuspicion(upstream);
     FakeRouters_run(&routers, TIMEOUT_MS / 4);
-    ck_assert_uint_eq(probes(), 1);
-    evhttp_send_reply(held, HTTP_OK, NULL, NULL);
-    FakeRouters_await(&routers, is_reached);
-    FakeRouters_run(&routers, LOOKS_MS);
-    ck_assert_uint_eq(hints_told(1, HINT_UNREACHABLE), 1);
+    ck_assert_uint_eq(count_probes(), 1);
+    evhttp_send_reply(pending, HTTP_OK, NULL, NULL);
+    FakeRouters_await(&routers, is_reachable);
+    FakeRouters_run(&routers, CHECKS_MS);
+    ck_assert_uint_eq(count_sent_hints(1, HINT_UNREACHABLE), 1);
     end();
 }
 END_TEST
 
-START_TEST(a_probe_that_is_not_answered_is_repeated)
+START_TEST(an_unanswered_probe_is_repeated)
 {
     begin(1, 0);
-    holds = TRUE;
+    delays_answers = TRUE;
     Upstream_noteUnreachable(upstream);
     FakeRouters_await(&routers, is_unanswered);
     ck_assert(upstream->suspect);
-    holds = FALSE;
-    FakeRouters_await(&routers, is_reached);
+    delays_answers = FALSE;
+    FakeRouters_await(&routers, is_reachable);
     ck_assert_uint_eq(upstream->unanswered, 0);
-    ck_assert_uint_eq(asked, 2);
+    ck_assert_uint_eq(requests_received, 2);
     end();
 }
 END_TEST
 
-START_TEST(a_late_answer_ends_no_doubt_and_disturbs_no_probe)
+START_TEST(a_late_answer_ends_no_suspicion_and_disturbs_no_probe)
 {
     begin(1, 0);
-    holds = TRUE;
+    delays_answers = TRUE;
     Upstream_noteUnreachable(upstream);
     FakeRouters_await(&routers, is_unanswered);
-    evhttp_send_reply(held, HTTP_OK, NULL, NULL);
-    FakeRouters_await(&routers, is_asked_twice);
+    evhttp_send_reply(pending, HTTP_OK, NULL, NULL);
+    FakeRouters_await(&routers, is_requested_twice);
     ck_assert(upstream->suspect);
-    evhttp_send_reply(held, HTTP_OK, NULL, NULL);
-    FakeRouters_await(&routers, is_reached);
+    evhttp_send_reply(pending, HTTP_OK, NULL, NULL);
+    FakeRouters_await(&routers, is_reachable);
     end();
 }
 END_TEST
 
-START_TEST(a_lost_probe_says_nothing_of_who_has_answered_meanwhile)
+START_TEST(a_lost_probe_is_ignored_if_the_upstream_answered_meanwhile)
 {
     begin(1, 0);
-    holds = TRUE;
+    delays_answers = TRUE;
     Upstream_noteUnreachable(upstream);
-    FakeRouters_await(&routers, is_asked);
+    FakeRouters_await(&routers, is_requested);
     Upstream_noteReachable(upstream, Clock_nowMs());
-    FakeRouters_run(&routers, TIMEOUT_MS + LOOKS_MS);
+    FakeRouters_run(&routers, TIMEOUT_MS + CHECKS_MS);
     ck_assert_uint_eq(upstream->unanswered, 0);
     ck_assert(!upstream->suspect);
-    ck_assert_uint_eq(probes(), 1);
+    ck_assert_uint_eq(count_probes(), 1);
     end();
 }
 END_TEST
 
-START_TEST(who_is_removed_is_not_asked_again)
+START_TEST(a_removed_upstream_is_not_probed_again)
 {
     begin(1, 0);
-    holds = TRUE;
+    delays_answers = TRUE;
     Upstream_noteUnreachable(upstream);
-    FakeRouters_await(&routers, is_asked);
-    UpstreamSet_drop(routers.upstreams, "u");
-    FakeRouters_run(&routers, TIMEOUT_MS + LOOKS_MS);
-    ck_assert_uint_eq(probes(), 1);
+    FakeRouters_await(&routers, is_requested);
+    UpstreamSet_remove(routers.upstreams, "u");
+    FakeRouters_run(&routers, TIMEOUT_MS + CHECKS_MS);
+    ck_assert_uint_eq(count_probes(), 1);
     end();
 }
 END_TEST
 
-START_TEST(it_may_end_while_a_probe_is_open)
+START_TEST(the_prober_may_be_destroyed_while_a_probe_is_open)
 {
     begin(1, 0);
-    holds = TRUE;
+    delays_answers = TRUE;
     Upstream_noteUnreachable(upstream);
-    FakeRouters_await(&routers, is_asked);
+    FakeRouters_await(&routers, is_requested);
     UpstreamProber_destroy(prober);
     prober = NULL;
     end();
 }
 END_TEST
 
-/* The place of each router in the order of those that ask. */
+/* Finds a router that does, or does not, probe when a peer suspects the
+ * upstream. */
 static guint
-find_router(gboolean asks)
+find_router(gboolean is_prober)
 {
     for (guint i = 0; i < MANY; i++) {
         guint rank =
             Membership_localRank(routers.list[i].membership, "u", NULL);
-        if ((rank < 3) == asks) {
+        if ((rank < PROBERS) == is_prober) {
             return i;
         }
     }
     return 0;
 }
 
-/* Ranks follow from names alone, so that a first set of routers tells. */
+/* Ranks depend on names alone, so they are those of the routers that begin()
+ * creates later. */
 static guint
-which_router(gboolean asks)
+predict_router(gboolean is_prober)
 {
     FakeRouters_init(&routers, MANY, MESH);
-    guint which = find_router(asks);
+    guint found = find_router(is_prober);
     FakeRouters_clear(&routers);
-    return which;
+    return found;
 }
 
-START_TEST(a_peers_doubt_is_asked_about_by_a_few)
+START_TEST(a_router_of_a_low_rank_probes_when_a_peer_suspects)
 {
-    begin(MANY, which_router(TRUE));
+    begin(MANY, predict_router(TRUE));
     Upstream_notePeerSuspicion(upstream);
-    FakeRouters_await(&routers, is_reached);
-    ck_assert_uint_eq(probes(), 1);
+    FakeRouters_await(&routers, is_reachable);
+    ck_assert_uint_eq(count_probes(), 1);
     end();
 }
 END_TEST
 
-START_TEST(others_wait_for_the_word_of_those_and_ask_without_it)
+START_TEST(other_routers_probe_only_after_a_timeout)
 {
-    begin(MANY, which_router(FALSE));
+    begin(MANY, predict_router(FALSE));
     gint64 began_ms = Clock_nowMs();
     Upstream_notePeerSuspicion(upstream);
     FakeRouters_await(&routers, is_probed);
-    ck_assert_int_ge(Clock_nowMs() - began_ms, PATIENCE_MS);
-    FakeRouters_await(&routers, is_reached);
+    ck_assert_int_ge(Clock_nowMs() - began_ms, PROBERS_TIMEOUT_MS);
+    FakeRouters_await(&routers, is_reachable);
     end();
 }
 END_TEST
 
-START_TEST(the_word_of_those_ends_a_peers_doubt_without_a_probe)
+START_TEST(a_peers_answer_ends_a_peers_suspicion_without_a_probe)
 {
-    begin(MANY, which_router(FALSE));
+    begin(MANY, predict_router(FALSE));
     Upstream_noteSuspicionReport(upstream, Clock_nowMs());
     Upstream_notePeerSuspicion(upstream);
-    FakeRouters_run(&routers, LOOKS_MS);
+    FakeRouters_run(&routers, CHECKS_MS);
     ck_assert(Upstream_resolveSuspicion(upstream));
-    FakeRouters_run(&routers, LOOKS_MS);
+    FakeRouters_run(&routers, CHECKS_MS);
     ck_assert(!upstream->suspect);
-    ck_assert_uint_eq(probes(), 0);
+    ck_assert_uint_eq(count_probes(), 0);
     end();
 }
 END_TEST
 
-START_TEST(what_it_finds_out_for_itself_is_asked_about_at_once)
+START_TEST(a_suspicion_of_the_router_itself_is_probed_at_once)
 {
-    begin(MANY, which_router(FALSE));
+    begin(MANY, predict_router(FALSE));
     Upstream_notePeerSuspicion(upstream);
-    FakeRouters_run(&routers, LOOKS_MS);
-    ck_assert_uint_eq(probes(), 0);
+    FakeRouters_run(&routers, CHECKS_MS);
+    ck_assert_uint_eq(count_probes(), 0);
     Upstream_noteUnreachable(upstream);
     ck_assert(!Upstream_resolveSuspicion(upstream) || upstream->suspect);
-    FakeRouters_await(&routers, is_reached);
-    ck_assert_uint_eq(probes(), 1);
+    FakeRouters_await(&routers, is_reachable);
+    ck_assert_uint_eq(count_probes(), 1);
     end();
 }
 END_TEST
 
-TESTING_MAIN("UpstreamProber", who_is_not_in_doubt_is_not_asked,
-             any_answer_ends_a_doubt,
-             a_doubt_that_comes_again_starts_no_second_probe,
-             a_probe_that_is_not_answered_is_repeated,
-             a_late_answer_ends_no_doubt_and_disturbs_no_probe,
-             a_lost_probe_says_nothing_of_who_has_answered_meanwhile,
-             who_is_removed_is_not_asked_again,
-             it_may_end_while_a_probe_is_open,
-             a_peers_doubt_is_asked_about_by_a_few,
-             others_wait_for_the_word_of_those_and_ask_without_it,
-             the_word_of_those_ends_a_peers_doubt_without_a_probe,
-             what_it_finds_out_for_itself_is_asked_about_at_once)
+TESTING_MAIN("UpstreamProber", an_upstream_that_is_not_suspected_is_not_probed,
+             any_answer_ends_a_suspicion,
+             a_repeated_suspicion_starts_no_second_probe,
+             an_unanswered_probe_is_repeated,
+             a_late_answer_ends_no_suspicion_and_disturbs_no_probe,
+             a_lost_probe_is_ignored_if_the_upstream_answered_meanwhile,
+             a_removed_upstream_is_not_probed_again,
+             the_prober_may_be_destroyed_while_a_probe_is_open,
+             a_router_of_a_low_rank_probes_when_a_peer_suspects,
+             other_routers_probe_only_after_a_timeout,
+             a_peers_answer_ends_a_peers_suspicion_without_a_probe,
+             a_suspicion_of_the_router_itself_is_probed_at_once)
