--- a/src/CallerApi.c
+++ b/src/CallerApi.c
@@ -86,7 +86,7 @@
                        NULL, 0);
     GBytes *bytes = g_bytes_new(hash, sizeof(hash));
     const Object_t *customer =
-        ConfigStore_customerByHash(call->context->config, bytes);
+        ConfigStore_findCustomerByHash(call->context->config, bytes);
     g_bytes_unref(bytes);
     return customer;
 }
--- a/src/ClientCommands.c
+++ b/src/ClientCommands.c
@@ -293,7 +293,7 @@
             guint count, guint64 *revision)
 {
     g_autoptr(GError) error = NULL;
-    Wt__ApplyRequest *request = Plan_request(steps, first, count);
+    Wt__ApplyRequest *request = Plan_createRequest(steps, first, count);
     Wt__ApplyResponse *answer = (Wt__ApplyResponse *)OperatorClient_call(
         client, -1, "OperatorCommand/Apply", &request->base,
         &wt__apply_response__descriptor, &error);
--- a/src/CommandLine.c
+++ b/src/CommandLine.c
@@ -341,9 +341,9 @@
         "# Reference\n\nMade by `wheattiller reference`. Durations are in "
         "milliseconds and sizes in bytes in the ranges.\n\n"
         "# Settings of a router\n");
-    Settings_reference(text);
+    Settings_appendReference(text);
     g_string_append(text, "\n# Declarations\n");
-    Declarations_reference(text);
+    Declarations_appendReference(text);
     fputs(text->str, stdout);
     g_string_free(text, TRUE);
     return EXIT_OK;
--- a/src/ConfigLog.c
+++ b/src/ConfigLog.c
@@ -11,23 +11,24 @@
     ConfigStore_t *store;
     ConfigLogLimits_t limits;
     struct event *retry;
-    GPtrArray *waiting; /* Command_t, not yet folded */
+    GPtrArray *waiting; /* Command_t whose records were not folded yet */
     gboolean reachable;
-    gboolean went_back;
-    guint64 epoch; /* of the log in which the records were folded */
+    gboolean lost_records;
+    guint64 epoch; /* epoch of the log that the records were folded from */
     gboolean epoch_known;
     gboolean reading;
     gboolean read_open;
-    GPtrArray *expired;    /* records read while a snapshot is looked for */
-    guint64 expired_first; /* offset of the first of them */
-    ConfigLogFolded_t folded;
-    void *folded_data;
+    GPtrArray *search_records; /* records read during the search for a
+                                  snapshot; NULL if there is no search */
+    guint64 search_first;      /* offset of the first of search_records */
+    ConfigFoldHandler_t on_folded;
+    void *on_folded_data;
 };
 
 typedef struct {
     ConfigLog_t *owner;
     GBytes *id;
-    CommandDone_t done; /* NULL once it was called */
+    CommandDone_t done; /* NULL after the call */
     void *data;
     struct event *timer;
     gboolean append_open;
@@ -43,16 +44,17 @@
     g_free(this);
 }
 
-/* A command lives on until its append was answered as well. */
+/* Calls the command's callback. The command is freed only after the log client
+ * has answered the append as well, as that callback refers to it. */
 static void
-end_command(Command_t *command, CommandEnd_t end, guint64 revision)
+complete_command(Command_t *command, CommandResult_t result, guint64 revision)
 {
     CommandDone_t done = command->done;
     command->done = NULL;
     evtimer_del(command->timer);
     g_ptr_array_remove(command->owner->waiting, command);
     if (done) {
-        done(end, revision, command->data);
+        done(result, revision, command->data);
     }
     if (!command->append_open) {
         Command_destroy(command);
@@ -60,24 +62,25 @@
 }
 
 static gboolean
-end_if_folded(Command_t *command)
+complete_if_folded(Command_t *command)
 {
     const ConfigOutcome_t *outcome =
-        ConfigStore_outcome(command->owner->store, command->id);
+        ConfigStore_findOutcome(command->owner->store, command->id);
     if (!outcome) {
         return FALSE;
     }
-    end_command(command, outcome->taken ? COMMAND_TAKEN : COMMAND_CONFLICT,
-                outcome->revision);
+    complete_command(command,
+                     outcome->taken ? COMMAND_APPLIED : COMMAND_CONFLICT,
+                     outcome->revision);
     return TRUE;
 }
 
 static void
-end_folded_commands(ConfigLog_t *this)
+complete_folded_commands(ConfigLog_t *this)
 {
     guint i = 0;
     while (i < this->waiting->len) {
-        if (!end_if_folded(g_ptr_array_index(this->waiting, i))) {
+        if (!complete_if_folded(g_ptr_array_index(this->waiting, i))) {
             i++;
         }
     }
@@ -97,18 +100,18 @@
     Log_end();
 }
 
-/* A log of a later epoch has lost records that are in force, also where its
- * head has grown past them since: to fold its records would make of each
- * router something else. */
+/* A log whose epoch has changed has lost records that are in force, even if
+ * its head has grown past their offsets since. Folding its new records would
+ * leave routers with different states. */
 static gboolean
-is_later_epoch(const ConfigLog_t *this, guint64 epoch)
+is_other_epoch(const ConfigLog_t *this, guint64 epoch)
 {
     return this->epoch_known && epoch != this->epoch &&
            ConfigStore_foldOffset(this->store) > 0;
 }
 
 static void
-note_epoch(ConfigLog_t *this, guint64 epoch)
+store_first_epoch(ConfigLog_t *this, guint64 epoch)
 {
     if (!this->epoch_known) {
         this->epoch_known = TRUE;
@@ -117,47 +120,48 @@
 }
 
 static void
-note_went_back(ConfigLog_t *this, const LogRecords_t *records)
+check_lost_records(ConfigLog_t *this, const LogRecords_t *records)
 {
     guint64 head = records->head;
-    gboolean back = head < ConfigStore_foldOffset(this->store) ||
-                    is_later_epoch(this, records->epoch);
-    if (back && !this->went_back) {
+    gboolean lost = head < ConfigStore_foldOffset(this->store) ||
+                    is_other_epoch(this, records->epoch);
+    if (lost && !this->lost_records) {
         Log_begin(LOG_LEVEL_ERROR, "log_went_back");
         Log_number("head", (gint64)head);
         Log_number("fold_offset", (gint64)ConfigStore_foldOffset(this->store));
         Log_end();
     }
-    this->went_back = back;
+    this->lost_records = lost;
 }
 
 static void
-fold_one(ConfigLog_t *this, guint64 offset, GBytes *record)
+fold_record_at(ConfigLog_t *this, guint64 offset, GBytes *record)
 {
     if (offset < ConfigStore_foldOffset(this->store)) {
         return;
     }
     ConfigStore_fold(this->store, offset, record);
-    if (this->folded) {
-        this->folded(offset, record, this->folded_data);
+    if (this->on_folded) {
+        this->on_folded(offset, record, this->on_folded_data);
     }
 }
 
 static Wt__ConfigRecord *
-unpack(GBytes *record)
+unpack_record(GBytes *record)
 {
     gsize size = 0;
     const guint8 *bytes = g_bytes_get_data(record, &size);
     return wt__config_record__unpack(NULL, size, bytes);
 }
 
-/* A snapshot is of use only if all that follows it is still there. */
+/* A snapshot is usable only if the log still has all records after its fold
+ * offset. */
 static gboolean
 load_snapshot(ConfigLog_t *this, GBytes *record)
 {
-    Wt__ConfigRecord *message = unpack(record);
+    Wt__ConfigRecord *message = unpack_record(record);
     gboolean loaded = message && message->snapshot &&
-                      message->snapshot->fold_offset >= this->expired_first &&
+                      message->snapshot->fold_offset >= this->search_first &&
                       ConfigStore_load(this->store, message->snapshot);
     if (message) {
         wt__config_record__free_unpacked(message, NULL);
@@ -165,31 +169,32 @@
     return loaded;
 }
 
+/* Folds those of the read records that the loaded snapshot lacks. */
 static void
-end_search(ConfigLog_t *this)
+end_snapshot_search(ConfigLog_t *this)
 {
-    for (guint i = 0; i < this->expired->len; i++) {
-        fold_one(this, this->expired_first + i,
-                 g_ptr_array_index(this->expired, i));
+    for (guint i = 0; i < this->search_records->len; i++) {
+        fold_record_at(this, this->search_first + i,
+                       g_ptr_array_index(this->search_records, i));
     }
-    g_clear_pointer(&this->expired, g_ptr_array_unref);
+    g_clear_pointer(&this->search_records, g_ptr_array_unref);
     Log_begin(LOG_LEVEL_INFO, "snapshot_loaded");
     Log_number("fold_offset", (gint64)ConfigStore_foldOffset(this->store));
     Log_end();
 }
 
 static void
-search_snapshot(ConfigLog_t *this, const LogRecords_t *records)
+load_snapshot_from(ConfigLog_t *this, const LogRecords_t *records)
 {
     gboolean loaded =
-        ConfigStore_foldOffset(this->store) >= this->expired_first;
+        ConfigStore_foldOffset(this->store) >= this->search_first;
     for (guint i = 0; i < records->records->len; i++) {
         GBytes *record = g_ptr_array_index(records->records, i);
-        g_ptr_array_add(this->expired, g_bytes_ref(record));
+        g_ptr_array_add(this->search_records, g_bytes_ref(record));
         loaded = load_snapshot(this, record) || loaded;
     }
     if (loaded) {
-        end_search(this);
+        end_snapshot_search(this);
     }
 }
 
@@ -199,35 +204,37 @@
     g_bytes_unref(bytes);
 }
 
+/* The records after the fold offset have expired. Reads from the oldest
+ * remaining record on, until one of them is a usable snapshot. */
 static void
-begin_search(ConfigLog_t *this, guint64 start)
+begin_snapshot_search(ConfigLog_t *this, guint64 start)
 {
     Log_begin(LOG_LEVEL_WARNING, "records_expired");
     Log_number("fold_offset", (gint64)ConfigStore_foldOffset(this->store));
     Log_number("start", (gint64)start);
     Log_end();
-    if (this->expired) {
-        g_ptr_array_unref(this->expired);
+    if (this->search_records) {
+        g_ptr_array_unref(this->search_records);
     }
-    this->expired = g_ptr_array_new_with_free_func(free_bytes);
-    this->expired_first = start;
+    this->search_records = g_ptr_array_new_with_free_func(free_bytes);
+    this->search_first = start;
 }
 
 static void
 fold_records(ConfigLog_t *this, const LogRecords_t *records)
 {
-    if (this->expired) {
-        search_snapshot(this, records);
+    if (this->search_records) {
+        load_snapshot_from(this, records);
         return;
     }
     for (guint i = 0; i < records->records->len; i++) {
-        fold_one(this, records->first + i,
-                 g_ptr_array_index(records->records, i));
+        fold_record_at(this, records->first + i,
+                       g_ptr_array_index(records->records, i));
     }
 }
 
 static void
-read_later(ConfigLog_t *this)
+schedule_retry(ConfigLog_t *this)
 {
     gint64 half = this->limits.retry_ms / 2;
     Clock_arm(this->retry, half + Random_below((guint32)half + 1));
@@ -239,32 +246,33 @@
     ConfigLog_t *this = data;
     this->read_open = FALSE;
     if (records && error) {
-        begin_search(this, records->start);
+        begin_snapshot_search(this, records->start);
         read_next(this);
         return;
     }
     if (!records) {
         note_reachable(this, FALSE, error->message);
-        read_later(this);
+        schedule_retry(this);
         return;
     }
     note_reachable(this, TRUE, "answered");
-    note_epoch(this, records->epoch);
-    note_went_back(this, records);
-    if (this->went_back) {
-        read_later(this);
+    store_first_epoch(this, records->epoch);
+    check_lost_records(this, records);
+    if (this->lost_records) {
+        schedule_retry(this);
         return;
     }
     fold_records(this, records);
-    end_folded_commands(this);
+    complete_folded_commands(this);
     read_next(this);
 }
 
 static guint64
 next_offset(const ConfigLog_t *this)
 {
-    return this->expired ? this->expired_first + this->expired->len
-                         : ConfigStore_foldOffset(this->store);
+    return this->search_records
+               ? this->search_first + this->search_records->len
+               : ConfigStore_foldOffset(this->store);
 }
 
 static void
@@ -288,16 +296,17 @@
 }
 
 void
-ConfigLog_onFolded(ConfigLog_t *this, ConfigLogFolded_t folded, void *data)
+ConfigLog_setFoldHandler(ConfigLog_t *this, ConfigFoldHandler_t on_folded,
+                         void *data)
 {
-    this->folded = folded;
-    this->folded_data = data;
+    this->on_folded = on_folded;
+    this->on_folded_data = data;
 }
 
 void
-ConfigLog_settle(ConfigLog_t *this)
+ConfigLog_completeFoldedCommands(ConfigLog_t *this)
 {
-    end_folded_commands(this);
+    complete_folded_commands(this);
 }
 
 static void
@@ -333,8 +342,8 @@
         Command_destroy(g_ptr_array_index(this->waiting, i));
     }
     g_ptr_array_unref(this->waiting);
-    if (this->expired) {
-        g_ptr_array_unref(this->expired);
+    if (this->search_records) {
+        g_ptr_array_unref(this->search_records);
     }
     g_free(this);
 }
@@ -346,7 +355,7 @@
 }
 
 static gboolean
-nothing_appended(const GError *error)
+error_excludes_append(const GError *error)
 {
     return g_error_matches(error, WT_ERROR, WT_ERROR_CONNECT) ||
            g_error_matches(error, WT_ERROR, WT_ERROR_REFUSED);
@@ -362,25 +371,25 @@
         Command_destroy(command);
         return;
     }
-    if (nothing_appended(error)) {
-        end_command(command, COMMAND_NOT_APPENDED, 0);
+    if (error_excludes_append(error)) {
+        complete_command(command, COMMAND_NOT_APPENDED, 0);
     }
 }
 
 static void
-on_command_late(evutil_socket_t fd, short what, void *data)
+on_command_timeout(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
-    end_command(data, COMMAND_UNKNOWN, 0);
+    complete_command(data, COMMAND_UNKNOWN, 0);
 }
 
 void
 ConfigLog_submit(ConfigLog_t *this, GBytes *command_id, GBytes *record,
                  CommandDone_t done, void *data)
 {
-    if (this->went_back) {
-        done(COMMAND_LOG_WENT_BACK, 0, data);
+    if (this->lost_records) {
+        done(COMMAND_LOG_LOST_RECORDS, 0, data);
         return;
     }
     Command_t *command = g_new0(Command_t, 1);
@@ -388,9 +397,9 @@
     command->id = g_bytes_ref(command_id);
     command->done = done;
     command->data = data;
-    command->timer = Clock_timer(this->base, on_command_late, command);
+    command->timer = Clock_timer(this->base, on_command_timeout, command);
     g_ptr_array_add(this->waiting, command);
-    if (end_if_folded(command)) {
+    if (complete_if_folded(command)) {
         return;
     }
     Clock_arm(command->timer, this->limits.command_ms);
@@ -398,6 +407,7 @@
     LogClient_append(this->log, CONFIG_STREAM, record, on_appended, command);
 }
 
+/* A failed append needs no retry: a later snapshot takes its place. */
 static void
 on_snapshot_appended(guint64 offset, const GError *error, void *data)
 {
@@ -412,7 +422,7 @@
 void
 ConfigLog_appendSnapshot(ConfigLog_t *this)
 {
-    if (this->went_back || this->expired) {
+    if (this->lost_records || this->search_records) {
         return;
     }
     GBytes *packed = ConfigStore_pack(this->store);
--- a/src/ConfigStore.c
+++ b/src/ConfigStore.c
@@ -8,11 +8,11 @@
 struct ConfigStore {
     GHashTable *objects[OBJECT_KIND_COUNT]; /* name -> Object_t */
     GHashTable *customers;                  /* key hash -> Object_t */
-    GHashTable *outcomes;                   /* command id -> outcome */
+    GHashTable *outcomes;                   /* command id -> ConfigOutcome_t */
     GQueue outcome_order;                   /* command ids, oldest first */
     guint64 fold_offset;
     guint64 snapshot_offset;
-    gboolean bootstrapped; /* all objects are those of a file */
+    gboolean bootstrapped; /* all objects come from a bootstrap file */
     guint64 kind_revisions[OBJECT_KIND_COUNT];
     ConfigChanged_t changed;
     void *data;
@@ -48,7 +48,7 @@
 }
 
 static Object_t *
-object_of_change(const Wt__Change *change, GPtrArray *problems)
+create_object(const Wt__Change *change, GPtrArray *problems)
 {
     ObjectKind_t kind = OBJECT_PRIORITY;
     if (!Declarations_parseKind(change->kind, &kind)) {
@@ -75,7 +75,7 @@
     if (change->remove && Declarations_parseKind(change->kind, &kind)) {
         return TRUE;
     }
-    Object_t *object = object_of_change(change, problems);
+    Object_t *object = create_object(change, problems);
     if (!object) {
         return FALSE;
     }
@@ -83,7 +83,7 @@
     return TRUE;
 }
 
-/* Takes a change's base as current only if the object is at that revision. */
+/* A base revision of 0 means that the object must not exist yet. */
 static gboolean
 base_is_current(const ConfigStore_t *this, const Wt__Change *change)
 {
@@ -96,7 +96,7 @@
 }
 
 static gboolean
-names_twice(const Wt__ConfigRecord *record, size_t at)
+is_duplicate_change(const Wt__ConfigRecord *record, size_t at)
 {
     for (size_t i = 0; i < at; i++) {
         if (strcmp(record->changes[i]->kind, record->changes[at]->kind) == 0 &&
@@ -108,12 +108,12 @@
 }
 
 static gboolean
-may_take(const ConfigStore_t *this, const Wt__ConfigRecord *record)
+can_apply(const ConfigStore_t *this, const Wt__ConfigRecord *record)
 {
     g_autoptr(GPtrArray) problems = Problems_create();
     for (size_t i = 0; i < record->n_changes; i++) {
         const Wt__Change *change = record->changes[i];
-        if (!base_is_current(this, change) || names_twice(record, i) ||
+        if (!base_is_current(this, change) || is_duplicate_change(record, i) ||
             !ConfigStore_checkChange(change, problems)) {
             return FALSE;
         }
@@ -122,7 +122,7 @@
 }
 
 static void
-forget_customer(ConfigStore_t *this, const Object_t *object)
+remove_customer(ConfigStore_t *this, const Object_t *object)
 {
     const Customer_t *spec = object->spec;
     if (g_hash_table_lookup(this->customers, spec->key_hash) == object) {
@@ -131,21 +131,21 @@
 }
 
 static void
-take_change(ConfigStore_t *this, const Wt__Change *change, guint64 revision)
+apply_change(ConfigStore_t *this, const Wt__Change *change, guint64 revision)
 {
     ObjectKind_t kind = OBJECT_PRIORITY;
     Declarations_parseKind(change->kind, &kind);
     this->kind_revisions[kind] = revision;
     Object_t *old = g_hash_table_lookup(this->objects[kind], change->name);
     if (old && kind == OBJECT_CUSTOMER) {
-        forget_customer(this, old);
+        remove_customer(this, old);
     }
     if (change->remove) {
         g_hash_table_remove(this->objects[kind], change->name);
         return;
     }
     g_autoptr(GPtrArray) problems = Problems_create();
-    Object_t *object = object_of_change(change, problems);
+    Object_t *object = create_object(change, problems);
     g_assert(object);
     object->revision = revision;
     g_hash_table_replace(this->objects[kind], g_strdup(change->name), object);
@@ -156,8 +156,8 @@
 }
 
 static void
-keep_outcome(ConfigStore_t *this, const Wt__ConfigRecord *record,
-             ConfigOutcome_t outcome)
+store_outcome(ConfigStore_t *this, const Wt__ConfigRecord *record,
+              ConfigOutcome_t outcome)
 {
     GBytes *id = g_bytes_new(record->command_id.data, record->command_id.len);
     if (g_hash_table_contains(this->outcomes, id)) {
@@ -167,14 +167,14 @@
     g_hash_table_insert(this->outcomes, id,
                         g_memdup2(&outcome, sizeof(outcome)));
     g_queue_push_tail(&this->outcome_order, id);
-    if (g_queue_get_length(&this->outcome_order) > CONFIG_OUTCOMES_KEPT) {
+    if (g_queue_get_length(&this->outcome_order) > CONFIG_OUTCOMES_MAX) {
         g_hash_table_remove(this->outcomes,
                             g_queue_pop_head(&this->outcome_order));
     }
 }
 
 static void
-forget_all(ConfigStore_t *this, guint64 revision)
+clear_state(ConfigStore_t *this, guint64 revision)
 {
     this->bootstrapped = FALSE;
     g_hash_table_remove_all(this->customers);
@@ -195,9 +195,9 @@
     change.name = object->name;
     change.n_fields = object->n_fields;
     change.fields = object->fields;
-    /* A kind that an older program does not know is left out. */
+    /* Skips kinds that this version of the program does not know. */
     if (ConfigStore_checkChange(&change, problems)) {
-        take_change(this, &change, object->revision);
+        apply_change(this, &change, object->revision);
     }
 }
 
@@ -207,7 +207,7 @@
     if (snapshot->fold_offset <= this->fold_offset) {
         return FALSE;
     }
-    forget_all(this, snapshot->fold_offset);
+    clear_state(this, snapshot->fold_offset);
     for (size_t i = 0; i < snapshot->n_objects; i++) {
         load_object(this, snapshot->objects[i]);
     }
@@ -215,11 +215,11 @@
         this->kind_revisions[i] = snapshot->fold_offset;
     }
     for (size_t i = 0; i < snapshot->n_outcomes; i++) {
-        const Wt__CommandOutcome *kept = snapshot->outcomes[i];
+        const Wt__CommandOutcome *outcome = snapshot->outcomes[i];
         Wt__ConfigRecord record = WT__CONFIG_RECORD__INIT;
-        record.command_id = kept->command_id;
-        keep_outcome(this, &record,
-                     (ConfigOutcome_t){kept->taken, kept->revision});
+        record.command_id = outcome->command_id;
+        store_outcome(this, &record,
+                      (ConfigOutcome_t){outcome->taken, outcome->revision});
     }
     this->fold_offset = snapshot->fold_offset;
     if (this->changed) {
@@ -238,7 +238,8 @@
         Object_t *object = g_ptr_array_index(objects, i);
         g_hash_table_replace(this->objects[object->kind],
                              g_strdup(object->name->str), object);
-        /* Differs from that of nothing, so that followers look. */
+        /* Differs from the initial 0, so that code that compares kind
+         * revisions sees a change. */
         this->kind_revisions[object->kind] = G_MAXUINT64;
         if (object->kind == OBJECT_CUSTOMER) {
             const Customer_t *spec = object->spec;
@@ -257,7 +258,8 @@
     return this->fold_offset > 0 || this->bootstrapped;
 }
 
-/* A command that was appended twice (an answer was lost) counts once. */
+/* A command whose append was retried after a lost answer can be in the log
+ * twice; only its first record is applied. */
 static gboolean
 is_repeat(const ConfigStore_t *this, const Wt__ConfigRecord *record)
 {
@@ -274,11 +276,11 @@
     if (is_repeat(this, record)) {
         return FALSE;
     }
-    ConfigOutcome_t outcome = {may_take(this, record), revision};
+    ConfigOutcome_t outcome = {can_apply(this, record), revision};
     for (size_t i = 0; outcome.taken && i < record->n_changes; i++) {
-        take_change(this, record->changes[i], revision);
+        apply_change(this, record->changes[i], revision);
     }
-    keep_outcome(this, record, outcome);
+    store_outcome(this, record, outcome);
     return outcome.taken;
 }
 
@@ -289,7 +291,7 @@
         return;
     }
     if (this->bootstrapped) {
-        forget_all(this, offset + 1);
+        clear_state(this, offset + 1);
     }
     this->fold_offset = offset + 1;
     gsize size = 0;
@@ -464,7 +466,7 @@
 }
 
 const ConfigOutcome_t *
-ConfigStore_outcome(const ConfigStore_t *this, GBytes *command_id)
+ConfigStore_findOutcome(const ConfigStore_t *this, GBytes *command_id)
 {
     return g_hash_table_lookup(this->outcomes, command_id);
 }
@@ -477,7 +479,7 @@
 }
 
 const Object_t *
-ConfigStore_customerByHash(const ConfigStore_t *this, GBytes *key_hash)
+ConfigStore_findCustomerByHash(const ConfigStore_t *this, GBytes *key_hash)
 {
     return g_hash_table_lookup(this->customers, key_hash);
 }
--- a/src/ConfigStore.h
+++ b/src/ConfigStore.h
@@ -3,19 +3,20 @@
 /**
  * DOC: ConfigStore
  *
- * The declarations in force, made by folding the records of the log stream
- * "config" in the order of their offsets. A record is taken only if each of
- * its changes is based on the object's current revision, so that every
- * router comes to the same state and racing operators get one winner.
+ * The declarations in force, computed by folding the records of the log stream
+ * "config" in the order of their offsets. A record is applied only if each of
+ * its changes is based on the object's current revision. Every router thus
+ * reaches the same state, and of two concurrent commands that change the same
+ * object, exactly one is applied.
  */
 #include <glib.h>
 
 #include "Declarations.h"
 #include "config.pb-c.h"
 
-/** How many outcomes of commands are remembered for a repeat of the question
- */
-#define CONFIG_OUTCOMES_KEPT 4096
+/** Number of command outcomes stored, so that a repeated command can be
+ * recognized and answered */
+#define CONFIG_OUTCOMES_MAX 4096
 
 /**
  * struct ConfigStore_t - opaque
@@ -23,9 +24,9 @@
 typedef struct ConfigStore ConfigStore_t;
 
 /**
- * struct ConfigOutcome_t - what became of a record
- * @taken: whether its changes are in force
- * @revision: the record's own, its offset plus one
+ * struct ConfigOutcome_t - outcome of a command's record
+ * @taken: whether its changes were applied
+ * @revision: revision of the record, which is its offset plus one
  */
 typedef struct {
     gboolean taken;
@@ -33,68 +34,72 @@
 } ConfigOutcome_t;
 
 /**
- * ConfigChanged_t - called after a record was taken
+ * ConfigChanged_t - called after the declarations in force have changed
  */
 typedef void (*ConfigChanged_t)(void *data);
 
 /**
- * ConfigStore_create() - nothing declared, fold offset 0
- * @changed: called after each record that was taken
- * @data: for @changed
+ * ConfigStore_create() - create an empty store with fold offset 0
+ * @changed: called after each record or snapshot that was applied, or NULL
+ * @data: passed to @changed
  */
 ConfigStore_t *ConfigStore_create(ConfigChanged_t changed, void *data);
 
 /**
- * ConfigStore_destroy() - free it
+ * ConfigStore_destroy() - free the store and all objects
  */
 void ConfigStore_destroy(ConfigStore_t *this);
 
 /**
- * ConfigStore_fold() - take the next record
- * @offset: must be the fold offset or above; a record below it was folded
- *     before and is passed over
- * @record: the record's bytes; one that can't be read is folded as not taken
+ * ConfigStore_fold() - fold the next record and apply its changes
+ * @offset: offset of the record; a record below the fold offset is ignored, as
+ *     it was folded before
+ * @record: a packed ConfigRecord; one that can't be decoded changes nothing
+ *     but the fold offset
  */
 void ConfigStore_fold(ConfigStore_t *this, guint64 offset, GBytes *record);
 
 /**
- * ConfigStore_pack() - all that was folded, as a message
+ * ConfigStore_pack() - encode the whole state as a snapshot
  *
- * Return: bytes of a Snapshot
+ * Return: a packed Snapshot message
  */
 GBytes *ConfigStore_pack(const ConfigStore_t *this);
 
 /**
- * ConfigStore_load() - take a snapshot over
+ * ConfigStore_load() - replace the state by a snapshot
  *
- * Only one with a larger fold offset is taken, so that nothing reverts.
+ * A snapshot whose fold offset is not larger than the store's is rejected, so
+ * that no object reverts to an older revision.
  *
- * Return: whether it was taken
+ * Return: whether the snapshot was loaded
  */
 gboolean ConfigStore_load(ConfigStore_t *this, const Wt__Snapshot *snapshot);
 
 /**
- * ConfigStore_bootstrap() - serve from declarations of a file until the log
- * or a peer answers
- * @objects: Object_t, with revision 0; taken over
+ * ConfigStore_bootstrap() - use declarations from a file until the log or a
+ * peer answers
+ * @objects: Object_t with revision 0; the store takes ownership
  *
- * The first thing that is folded or loaded takes the place of all of them.
+ * The first record folded or snapshot loaded replaces all these objects.
  */
 void ConfigStore_bootstrap(ConfigStore_t *this, GPtrArray *objects);
 
-/** ConfigStore_isUsable() - whether anything is declared to serve from */
+/** ConfigStore_isUsable() - whether the store has declarations from the log,
+ * a peer or a bootstrap file */
 gboolean ConfigStore_isUsable(const ConfigStore_t *this);
 
-/** ConfigStore_snapshotOffset() - offset of the last snapshot's record, plus
- * one; 0 for none */
+/** ConfigStore_snapshotOffset() - offset of the last folded record that holds
+ * a snapshot, plus one; 0 for none */
 guint64 ConfigStore_snapshotOffset(const ConfigStore_t *this);
 
 /**
- * ConfigStore_foldOffset() - records below it were folded
+ * ConfigStore_foldOffset() - offset of the next record to fold
  */
 guint64 ConfigStore_foldOffset(const ConfigStore_t *this);
 
-/** ConfigStore_kindRevision() - of the last change of any object of a kind */
+/** ConfigStore_kindRevision() - revision of the last change to any object of
+ * a kind */
 guint64 ConfigStore_kindRevision(const ConfigStore_t *this, ObjectKind_t kind);
 
 /**
@@ -104,35 +109,42 @@
 void ConfigStore_digest(const ConfigStore_t *this, guint8 out[16]);
 
 /**
- * ConfigStore_outcome() - what became of a command's record
+ * ConfigStore_findOutcome() - find the outcome of a command's record
  *
- * Return: NULL where no record of this id was folded or it is long ago
+ * Return: NULL if no record of this id was folded, or if its outcome was
+ * evicted (CONFIG_OUTCOMES_MAX)
  */
-const ConfigOutcome_t *ConfigStore_outcome(const ConfigStore_t *this,
-                                           GBytes *command_id);
+const ConfigOutcome_t *ConfigStore_findOutcome(const ConfigStore_t *this,
+                                               GBytes *command_id);
 
 /**
- * ConfigStore_find() - a declared object
+ * ConfigStore_find() - find a declared object
+ *
+ * Return: owned by the store; NULL if there is none
  */
 const Object_t *ConfigStore_find(const ConfigStore_t *this, ObjectKind_t kind,
                                  const char *name);
 
 /**
- * ConfigStore_list() - all objects of a kind
+ * ConfigStore_list() - list all objects of a kind
  *
- * Return: a new list of Object_t, owned by the store, by name
+ * Return: a new list, sorted by name, of Object_t owned by the store
  */
 GPtrArray *ConfigStore_list(const ConfigStore_t *this, ObjectKind_t kind);
 
 /**
- * ConfigStore_customerByHash() - the customer whose key has this hash
+ * ConfigStore_findCustomerByHash() - find the customer with this key hash
+ *
+ * Return: owned by the store; NULL if there is none
  */
-const Object_t *ConfigStore_customerByHash(const ConfigStore_t *this,
-                                           GBytes *key_hash);
+const Object_t *ConfigStore_findCustomerByHash(const ConfigStore_t *this,
+                                               GBytes *key_hash);
 
 /**
- * ConfigStore_checkChange() - whether a change's fields pass the checks
- * @problems: gets every fault
+ * ConfigStore_checkChange() - validate the kind, name and fields of a change
+ * @problems: receives every fault
+ *
+ * Return: whether the change is valid
  */
 gboolean ConfigStore_checkChange(const Wt__Change *change,
                                  GPtrArray *problems);
--- a/src/ConfigSync.c
+++ b/src/ConfigSync.c
@@ -3,15 +3,19 @@
 #include "Clock.h"
 #include "Log.h"
 
-/* Records kept for peers that lag by a little; others get the whole state. */
-#define RECORDS_KEPT 256
+/* Number of records cached for peers; a peer that needs older records gets a
+ * snapshot. */
+#define RECORDS_CACHED_MAX 256
 #define TICK_MS 50
-/* A pull without an answer is made again, of another peer perhaps. */
+/* A pull without an answer is repeated after this time, possibly from another
+ * peer. */
 #define PULL_TIMEOUT_MS 1000
-/* One who reads the log gives it this long before asking a peer. */
-#define READER_PATIENCE_MS 500
-/* Each router waits for those before it in the order to append a snapshot. */
-#define SNAPSHOT_TURN_MS 2000
+/* A router that reads the log waits this long for it to catch up before it
+ * pulls from a peer. */
+#define READER_PULL_DELAY_MS 500
+/* Routers get successive time slots of this length, in order of rank, for
+ * appending a due snapshot. */
+#define SNAPSHOT_SLOT_MS 2000
 
 struct ConfigSync {
     const Settings_t *settings;
@@ -19,31 +23,31 @@
     ConfigLog_t *log;
     Membership_t *membership;
     struct event *tick;
-    struct event *push; /* news go out at the end of the loop's turn */
-    guint64 pushed_end; /* records below it were offered to peers */
-    GQueue records;     /* GBytes at consecutive offsets */
-    guint64 records_end;
+    struct event *push;  /* runs on_push() */
+    guint64 push_offset; /* records below it were sent to peers */
+    GQueue records;      /* GBytes at consecutive offsets */
+    guint64 records_end; /* offset after the last of records */
     gint64 behind_since_ms;
     gint64 pulled_ms;
-    gint64 snapshot_due_ms;
+    gint64 snapshot_at_ms;
 };
 
 static void
-drop_record(gpointer record)
+free_record(gpointer record)
 {
     g_bytes_unref(record);
 }
 
 static void
-keep_record(guint64 offset, GBytes *record, void *data)
+cache_record(guint64 offset, GBytes *record, void *data)
 {
     ConfigSync_t *this = data;
     if (offset != this->records_end) {
-        g_queue_clear_full(&this->records, drop_record);
+        g_queue_clear_full(&this->records, free_record);
     }
     g_queue_push_tail(&this->records, g_bytes_ref(record));
     this->records_end = offset + 1;
-    if (g_queue_get_length(&this->records) > RECORDS_KEPT) {
+    if (g_queue_get_length(&this->records) > RECORDS_CACHED_MAX) {
         g_bytes_unref(g_queue_pop_head(&this->records));
     }
     Clock_arm(this->push, 0);
@@ -59,7 +63,7 @@
 }
 
 static void
-send_state(ConfigSync_t *this, Member_t *member)
+send_snapshot(ConfigSync_t *this, Member_t *member)
 {
     GBytes *packed = ConfigStore_pack(this->store);
     gsize size = 0;
@@ -90,8 +94,10 @@
     send_push(this, member, &push);
 }
 
-/* Each router passes news on once to whom it is linked, so that they reach
- * all without waiting for gossip; what is lost on the way is pulled. */
+/* Sends the records folded in one loop iteration together, once to each linked
+ * peer that may lack them. The peer forwards them likewise, so that they reach
+ * all routers without waiting for gossip. A router that misses a push pulls
+ * the records later. */
 static void
 on_push(evutil_socket_t fd, short what, void *data)
 {
@@ -100,8 +106,8 @@
     ConfigSync_t *this = data;
     const GPtrArray *members = Membership_members(this->membership);
     guint64 first = this->records_end - g_queue_get_length(&this->records);
-    guint64 from = MAX(this->pushed_end, first);
-    this->pushed_end = this->records_end;
+    guint64 from = MAX(this->push_offset, first);
+    this->push_offset = this->records_end;
     for (guint i = 0; i < members->len && from < this->records_end; i++) {
         Member_t *member = g_ptr_array_index(members, i);
         if (member->link && member->fold_offset < this->records_end) {
@@ -111,25 +117,26 @@
 }
 
 static void
-take_pull(ConfigSync_t *this, Member_t *from, guint64 offset)
+receive_pull(ConfigSync_t *this, Member_t *from, guint64 offset)
 {
     guint64 end = ConfigStore_foldOffset(this->store);
     guint64 first = this->records_end - g_queue_get_length(&this->records);
     if (offset >= end) {
-        /* It has caught up meanwhile; the answer lets it pull again. */
-        Wt__ConfigPush nothing = WT__CONFIG_PUSH__INIT;
-        send_push(this, from, &nothing);
+        /* The peer already has all records. The empty answer ends its wait,
+         * so that it may pull again. */
+        Wt__ConfigPush empty = WT__CONFIG_PUSH__INIT;
+        send_push(this, from, &empty);
         return;
     }
     if (this->records_end == end && offset >= first) {
         send_records(this, from, offset);
         return;
     }
-    send_state(this, from);
+    send_snapshot(this, from);
 }
 
 static void
-take_push(ConfigSync_t *this, const Wt__ConfigPush *push)
+receive_push(ConfigSync_t *this, const Wt__ConfigPush *push)
 {
     this->pulled_ms = 0;
     if (push->snapshot) {
@@ -141,33 +148,33 @@
             GBytes *record =
                 g_bytes_new(push->records[i].data, push->records[i].len);
             ConfigStore_fold(this->store, offset, record);
-            keep_record(offset, record, this);
+            cache_record(offset, record, this);
             g_bytes_unref(record);
         }
     }
-    ConfigLog_settle(this->log);
+    ConfigLog_completeFoldedCommands(this->log);
 }
 
 void
-ConfigSync_take(ConfigSync_t *this, Member_t *from,
-                const Wt__PeerMessage *message)
+ConfigSync_receive(ConfigSync_t *this, Member_t *from,
+                   const Wt__PeerMessage *message)
 {
     if (message->body_case == WT__PEER_MESSAGE__BODY_CONFIG_PULL) {
-        take_pull(this, from, message->config_pull->from);
+        receive_pull(this, from, message->config_pull->from);
     }
     else {
-        take_push(this, message->config_push);
+        receive_push(this, message->config_push);
     }
 }
 
 static Member_t *
-find_ahead(const ConfigSync_t *this)
+find_peer_ahead(const ConfigSync_t *this)
 {
     const GPtrArray *members = Membership_members(this->membership);
-    guint64 own = ConfigStore_foldOffset(this->store);
+    guint64 local_offset = ConfigStore_foldOffset(this->store);
     for (guint i = 0; i < members->len; i++) {
         Member_t *member = g_ptr_array_index(members, i);
-        if (member->link && member->fold_offset > own) {
+        if (member->link && member->fold_offset > local_offset) {
             return member;
         }
     }
@@ -179,11 +186,11 @@
 {
     return Membership_localRank(this->membership, "config-reader",
                                 this->settings->router.hall->str) <
-           CONFIG_READERS;
+           CONFIG_READERS_PER_HALL;
 }
 
 static void
-pull(ConfigSync_t *this, Member_t *member, gint64 now_ms)
+send_pull(ConfigSync_t *this, Member_t *member, gint64 now_ms)
 {
     Wt__ConfigPull body = WT__CONFIG_PULL__INIT;
     Wt__PeerMessage message = WT__PEER_MESSAGE__INIT;
@@ -194,47 +201,49 @@
     Membership_send(this->membership, member, &message);
 }
 
-/* A start has no time to lose, whatever the log does. */
+/* How long this router must be behind a peer before it pulls. A router that
+ * has folded nothing yet pulls at once, to keep its start short. */
 static gint64
-patience_ms(const ConfigSync_t *this)
+pull_delay_ms(const ConfigSync_t *this)
 {
-    gboolean waits = ConfigStore_foldOffset(this->store) > 0 &&
-                     ConfigLog_isReachable(this->log) && is_reader(this);
-    return waits ? READER_PATIENCE_MS : 0;
+    gboolean waits_for_log = ConfigStore_foldOffset(this->store) > 0 &&
+                             ConfigLog_isReachable(this->log) &&
+                             is_reader(this);
+    return waits_for_log ? READER_PULL_DELAY_MS : 0;
 }
 
 static void
 pull_if_behind(ConfigSync_t *this, gint64 now_ms)
 {
-    Member_t *ahead = find_ahead(this);
+    Member_t *ahead = find_peer_ahead(this);
     if (!ahead) {
         this->behind_since_ms = now_ms;
         return;
     }
-    if (now_ms - this->behind_since_ms >= patience_ms(this) &&
+    if (now_ms - this->behind_since_ms >= pull_delay_ms(this) &&
         now_ms - this->pulled_ms >= PULL_TIMEOUT_MS) {
-        pull(this, ahead, now_ms);
+        send_pull(this, ahead, now_ms);
     }
 }
 
-/* Any router may append one and a second one does no harm; the order only
- * keeps all of them from doing it at once. */
+/* Any router may append a snapshot and a second one does no harm; the delay by
+ * rank only keeps all routers from appending at once. */
 static void
-snapshot_if_due(ConfigSync_t *this, gint64 now_ms)
+append_snapshot_if_due(ConfigSync_t *this, gint64 now_ms)
 {
-    guint64 since = ConfigStore_foldOffset(this->store) -
-                    MIN(ConfigStore_snapshotOffset(this->store),
-                        ConfigStore_foldOffset(this->store));
-    if (since < (guint64)this->settings->platform.snapshot_records) {
-        this->snapshot_due_ms = 0;
+    guint64 record_count = ConfigStore_foldOffset(this->store) -
+                           MIN(ConfigStore_snapshotOffset(this->store),
+                               ConfigStore_foldOffset(this->store));
+    if (record_count < (guint64)this->settings->platform.snapshot_records) {
+        this->snapshot_at_ms = 0;
         return;
     }
-    if (this->snapshot_due_ms == 0) {
+    if (this->snapshot_at_ms == 0) {
         guint rank = Membership_localRank(this->membership, "snapshot", NULL);
-        this->snapshot_due_ms = now_ms + (gint64)rank * SNAPSHOT_TURN_MS;
+        this->snapshot_at_ms = now_ms + (gint64)rank * SNAPSHOT_SLOT_MS;
     }
-    if (now_ms >= this->snapshot_due_ms) {
-        this->snapshot_due_ms = now_ms + SNAPSHOT_TURN_MS;
+    if (now_ms >= this->snapshot_at_ms) {
+        this->snapshot_at_ms = now_ms + SNAPSHOT_SLOT_MS;
         ConfigLog_appendSnapshot(this->log);
     }
 }
@@ -250,7 +259,7 @@
                              ConfigStore_foldOffset(this->store));
     ConfigLog_setReading(this->log, is_reader(this));
     pull_if_behind(this, now_ms);
-    snapshot_if_due(this, now_ms);
+    append_snapshot_if_due(this, now_ms);
     Clock_arm(this->tick, TICK_MS);
 }
 
@@ -266,9 +275,9 @@
     this->membership = membership;
     this->tick = Clock_timer(base, on_tick, this);
     this->push = Clock_timer(base, on_push, this);
-    this->pushed_end = ConfigStore_foldOffset(store);
+    this->push_offset = ConfigStore_foldOffset(store);
     g_queue_init(&this->records);
-    ConfigLog_onFolded(log, keep_record, this);
+    ConfigLog_setFoldHandler(log, cache_record, this);
     Clock_arm(this->tick, TICK_MS);
     return this;
 }
@@ -278,6 +287,6 @@
 {
     event_free(this->tick);
     event_free(this->push);
-    g_queue_clear_full(&this->records, drop_record);
+    g_queue_clear_full(&this->records, free_record);
     g_free(this);
 }
--- a/src/Declarations.c
+++ b/src/Declarations.c
@@ -18,15 +18,16 @@
 
 static const KeySpec_t model_keys[] = {
     {"weights", KEY_NAME, TRUE, NULL, 0, 0, NULL, offsetof(Model_t, weights),
-     "Version of the weights that answers must come from."},
+     "Version of the weights that must produce the answers."},
     {"context", KEY_INTEGER, FALSE, "131072", 1, 1 << 30, NULL,
-     offsetof(Model_t, context), "Most tokens of prompt and answer."},
+     offsetof(Model_t, context),
+     "Largest sum of prompt and answer, in tokens."},
     {NULL},
 };
 
 static const KeySpec_t adapter_keys[] = {
     {"model", KEY_NAME, TRUE, NULL, 0, 0, NULL, offsetof(Adapter_t, model),
-     "Model that the adapter is for."},
+     "Model that the adapter applies to."},
     {"weights", KEY_NAME, TRUE, NULL, 0, 0, NULL, offsetof(Adapter_t, weights),
      "Version of the adapter's weights."},
     {NULL},
@@ -47,46 +48,51 @@
      "BLAKE2b-256 of the customer's key (`wheattiller hash-key`)."},
     {"max_priority", KEY_NAME, TRUE, NULL, 0, 0, NULL,
      offsetof(Customer_t, max_priority),
-     "Highest priority that its requests may ask for."},
+     "Highest priority that the customer's requests may have."},
     {"class", KEY_NAME, FALSE, "standard", 0, 0, NULL,
-     offsetof(Customer_t, customer_class), "Label of its counters."},
+     offsetof(Customer_t, customer_class),
+     "Label of the customer's counters."},
     {"unit", KEY_CHOICE, FALSE, "requests", 0, 0, "requests,tokens",
      offsetof(Customer_t, unit),
-     "What rate and burst count; tokens are those of a prompt and the most of "
-     "its answer."},
+     "What rate and burst count; a request counts the tokens of its prompt "
+     "and "
+     "the largest number of tokens that its answer may have."},
     {"rate", KEY_INTEGER, FALSE, "1000", 0, 1000000000, NULL,
      offsetof(Customer_t, rate),
-     "Units a second over all routers; 0 for no limit."},
+     "Units per second over all routers; 0 for no limit."},
     {"burst", KEY_INTEGER, FALSE, "1000", 0, 1000000000, NULL,
      offsetof(Customer_t, burst),
-     "Units at once after a quiet time; at least half a second's rate."},
+     "Units that may be used at once after an idle period; raised to half a "
+     "second's rate if smaller."},
     {"plain_tokens", KEY_INTEGER, FALSE, "200", 1, 1000000, NULL,
      offsetof(Customer_t, plain_tokens),
-     "Tokens that a call of a plain service counts."},
+     "Tokens that one call of a plain service counts as."},
     {"concurrency", KEY_INTEGER, FALSE, "10000", 1, 1000000, NULL,
      offsetof(Customer_t, concurrency),
-     "Open requests, counted by each router for itself."},
+     "Largest number of open requests on each router."},
     {NULL},
 };
 
 static const KeySpec_t upstream_keys[] = {
     {"address", KEY_ADDRESS, TRUE, NULL, 0, 0, NULL,
-     offsetof(UpstreamSpec_t, address), "Where it listens."},
+     offsetof(UpstreamSpec_t, address),
+     "Address that the upstream listens on."},
     {"hall", KEY_NAME, TRUE, NULL, 0, 0, NULL, offsetof(UpstreamSpec_t, hall),
-     "Hall that it stands in."},
+     "Hall of the upstream."},
     {"region", KEY_NAME, TRUE, NULL, 0, 0, NULL,
      offsetof(UpstreamSpec_t, region), "Region of the hall."},
     {"role", KEY_CHOICE, FALSE, "engine", 0, 0, "engine,service",
-     offsetof(UpstreamSpec_t, role), "What it is."},
+     offsetof(UpstreamSpec_t, role),
+     "Whether the upstream is an engine or an instance of a plain service."},
     {"serves", KEY_NAMES, TRUE, NULL, 0, 0, NULL,
      offsetof(UpstreamSpec_t, serves),
-     "Models of an engine, or services of a plain one."},
+     "Models of an engine, or plain services of a service instance."},
     {"slots", KEY_INTEGER, FALSE, "256", 1, 1000000, NULL,
      offsetof(UpstreamSpec_t, slots),
-     "Most open requests that one router sends to it."},
+     "Largest number of open requests from one router to the upstream."},
     {"fencing", KEY_CHOICE, FALSE, "obeyed", 0, 0, "obeyed,ignored",
      offsetof(UpstreamSpec_t, fencing),
-     "Whether it refuses orders that carry an old fencing number."},
+     "Whether the upstream refuses orders that carry an old fencing number."},
     {NULL},
 };
 
@@ -94,28 +100,30 @@
     {"upstream", KEY_NAME, TRUE, NULL, 0, 0, NULL,
      offsetof(StopPlan_t, upstream), "Upstream that is to stop."},
     {"by", KEY_TEXT, TRUE, NULL, 0, 0, NULL, offsetof(StopPlan_t, by),
-     "Time by which it must be drained, as 2026-01-31T08:00:00Z."},
+     "Time by which the upstream must be drained, such as "
+     "2026-01-31T08:00:00Z."},
     {"lead", KEY_DURATION, FALSE, "5m", 0, DAY_MS, NULL,
      offsetof(StopPlan_t, lead_ms),
-     "So long before, it gets no new work any more."},
+     "How long before that time the upstream stops getting new work."},
     {NULL},
 };
 
 static const SectionSpec_t sections[OBJECT_KIND_COUNT] = {
     [OBJECT_PRIORITY] = {"priority", priority_keys, sizeof(Priority_t),
-                         "A rank of requests."},
+                         "A priority of requests."},
     [OBJECT_MODEL] = {"model", model_keys, sizeof(Model_t),
                       "A model and the version of its weights."},
     [OBJECT_ADAPTER] = {"adapter", adapter_keys, sizeof(Adapter_t),
                         "An adapter of a model."},
     [OBJECT_SERVICE] = {"service", service_keys, sizeof(Service_t),
-                        "A plain service beside the engines."},
+                        "A plain service, served without an engine."},
     [OBJECT_CUSTOMER] = {"customer", customer_keys, sizeof(Customer_t),
-                         "Who may call, with which limits."},
+                         "A customer, its key and its limits."},
     [OBJECT_UPSTREAM] = {"upstream", upstream_keys, sizeof(UpstreamSpec_t),
-                         "An engine or a plain service's instance."},
+                         "An engine, or an instance of a plain service."},
     [OBJECT_STOP_PLAN] = {"stop-plan", stop_plan_keys, sizeof(StopPlan_t),
-                          "A stop of an upstream that cuts off nothing."},
+                          "A planned stop of an upstream that interrupts no "
+                          "request."},
 };
 
 const char *
@@ -125,10 +133,10 @@
 }
 
 gboolean
-Declarations_parseKind(const char *word, ObjectKind_t *kind)
+Declarations_parseKind(const char *name, ObjectKind_t *kind)
 {
     for (int i = 0; i < OBJECT_KIND_COUNT; i++) {
-        if (strcmp(sections[i].name, word) == 0) {
+        if (strcmp(sections[i].name, name) == 0) {
             *kind = (ObjectKind_t)i;
             return TRUE;
         }
@@ -156,7 +164,7 @@
                      place.ini ? IniFile_path(place.ini) : "-",
                      place.ini ? IniFile_line(place.ini, place.section, "by")
                                : 0,
-                     place.section, "by", "expected a time with its zone");
+                     place.section, "by", "expected a time with a time zone");
     }
 }
 
@@ -164,13 +172,13 @@
 Object_create(ObjectKind_t kind, const char *name, GHashTable *fields,
               KeyPlace_t place, GPtrArray *problems)
 {
-    guint before = problems->len;
+    guint problems_before = problems->len;
     Object_t *this = g_new0(Object_t, 1);
     this->kind = kind;
     this->name = g_string_new(name);
     this->fields = fields;
     this->spec = g_malloc0(sections[kind].size);
-    if (!KeyTable_nameIsGood(name)) {
+    if (!KeyTable_isValidName(name)) {
         Problems_add(
             problems, PROBLEM_BAD_NAME,
             place.ini ? IniFile_path(place.ini) : "-",
@@ -179,7 +187,7 @@
     }
     KeyTable_fill(&sections[kind], fields, place, this->spec, problems);
     check_stop_time(this, place, problems);
-    if (problems->len > before) {
+    if (problems->len > problems_before) {
         Object_destroy(this);
         return NULL;
     }
@@ -273,21 +281,21 @@
              GPtrArray *problems)
 {
     guint line = IniFile_line(ini, section, NULL);
-    g_auto(GStrv) words = g_strsplit(section, " ", 2);
+    g_auto(GStrv) parts = g_strsplit(section, " ", 2);
     ObjectKind_t kind = OBJECT_PRIORITY;
-    if (!words[0] || !words[1] || !Declarations_parseKind(words[0], &kind)) {
+    if (!parts[0] || !parts[1] || !Declarations_parseKind(parts[0], &kind)) {
         Problems_add(problems, PROBLEM_UNKNOWN_SECTION, IniFile_path(ini),
                      line, section, NULL, "expected [KIND NAME]");
         return;
     }
-    if (has_object(objects, kind, words[1])) {
+    if (has_object(objects, kind, parts[1])) {
         Problems_add(problems, PROBLEM_DUPLICATE_SECTION, IniFile_path(ini),
-                     line, section, NULL, "declared in another file as well");
+                     line, section, NULL, "also declared in another file");
         return;
     }
     KeyPlace_t place = {ini, section};
     Object_t *object = Object_create(
-        kind, words[1], IniFile_fields(ini, section), place, problems);
+        kind, parts[1], IniFile_fields(ini, section), place, problems);
     if (object) {
         g_ptr_array_add(objects, object);
     }
@@ -313,7 +321,7 @@
     GDir *directory = g_dir_open(path, 0, NULL);
     if (!directory) {
         Problems_add(problems, PROBLEM_UNREADABLE, path, 0, NULL, NULL,
-                     "not a directory that can be read");
+                     "can't read the directory");
         return;
     }
     const char *name = NULL;
@@ -356,9 +364,9 @@
 }
 
 void
-Declarations_reference(GString *out)
+Declarations_appendReference(GString *out)
 {
     for (int i = 0; i < OBJECT_KIND_COUNT; i++) {
-        KeyTable_reference(&sections[i], out);
+        KeyTable_appendReference(&sections[i], out);
     }
 }
--- a/src/Declarations.h
+++ b/src/Declarations.h
@@ -3,16 +3,16 @@
 /**
  * DOC: Declarations
  *
- * The objects that operators declare, each a section "[kind name]" of an INI
- * file kept in version control, and each in force on every router once a
- * command that carries it was accepted.
+ * The objects that operators declare. Each object is a section "[kind name]"
+ * of an INI file kept in version control. It comes into force on every router
+ * when a command with its declaration is applied.
  */
 #include <glib.h>
 
 #include "KeyTable.h"
 
 /**
- * enum ObjectKind_t - the kinds, in the order in which they are applied
+ * enum ObjectKind_t - kinds of objects, in the order in which they are applied
  */
 typedef enum {
     OBJECT_PRIORITY,
@@ -25,12 +25,12 @@
     OBJECT_KIND_COUNT,
 } ObjectKind_t;
 
-/** struct Priority_t - [priority NAME]; a larger level goes first */
+/** struct Priority_t - [priority NAME]; a larger level is served first */
 typedef struct {
     gint64 level;
 } Priority_t;
 
-/** struct Model_t - [model NAME] */
+/** struct Model_t - [model NAME]; context in tokens */
 typedef struct {
     GString *weights;
     gint64 context;
@@ -48,10 +48,11 @@
     gint64 timeout_ms;
 } Service_t;
 
-/** enum LimitUnit_t - the words of [customer] unit, in their order */
+/** enum LimitUnit_t - values of [customer] unit, in the order of its choices
+ */
 typedef enum { LIMIT_REQUESTS, LIMIT_TOKENS } LimitUnit_t;
 
-/** struct Customer_t - [customer NAME]; rate in units a second */
+/** struct Customer_t - [customer NAME]; rate in units per second */
 typedef struct {
     GBytes *key_hash;
     GString *max_priority;
@@ -63,7 +64,9 @@
     gint64 concurrency;
 } Customer_t;
 
-/** enum UpstreamRole_t - the words of [upstream] role */
+/** enum UpstreamRole_t - values of [upstream] role, in the order of its
+ * choices
+ */
 typedef enum { ROLE_ENGINE, ROLE_SERVICE } UpstreamRole_t;
 
 /** struct UpstreamSpec_t - [upstream NAME] */
@@ -77,8 +80,8 @@
     gint64 fencing;
 } UpstreamSpec_t;
 
-/** struct StopPlan_t - [stop-plan NAME]; no new work from @lead_ms before
- * the time @by on */
+/** struct StopPlan_t - [stop-plan NAME]; the upstream gets no new work from
+ * @lead_ms before the time @by on */
 typedef struct {
     GString *upstream;
     GString *by;
@@ -87,12 +90,12 @@
 
 /**
  * struct Object_t - one declared object
- * @kind: its kind
- * @name: its name
- * @revision: log offset of the change that is in force, plus one; 0 for an
- *     object that was only read from a file
- * @fields: keys and values as text
- * @spec: the kind's struct, filled from @fields
+ * @kind: selects the type of @spec
+ * @name: unique within the kind
+ * @revision: log offset of the object's last change, plus one; 0 for an object
+ *     read from a file
+ * @fields: key -> value, both as text
+ * @spec: struct of the kind, such as Model_t, filled from @fields
  */
 typedef struct {
     ObjectKind_t kind;
@@ -103,47 +106,48 @@
 } Object_t;
 
 /**
- * Object_create() - check an object's fields
- * @fields: taken over
- * @place: for problems
- * @problems: gets every fault
+ * Object_create() - create an object from its fields and validate them
+ * @fields: the object takes ownership, also in case of a fault
+ * @place: source of the fields, for problems
+ * @problems: receives every fault
  *
- * Return: the object, or NULL where there is any fault
+ * Return: the object, or NULL if there is any fault
  */
 Object_t *Object_create(ObjectKind_t kind, const char *name,
                         GHashTable *fields, KeyPlace_t place,
                         GPtrArray *problems);
 
 /**
- * Object_destroy() - free it
+ * Object_destroy() - free the object with its fields and spec
  */
 void Object_destroy(Object_t *this);
 
 /**
- * Declarations_kindName() - the word in a section's head
+ * Declarations_kindName() - name of a kind, as in section names
  */
 const char *Declarations_kindName(ObjectKind_t kind);
 
 /**
- * Declarations_parseKind() - find a kind by its word
+ * Declarations_parseKind() - find a kind by its name
  *
- * Return: FALSE where there is none
+ * Return: FALSE if there is no such kind
  */
-gboolean Declarations_parseKind(const char *word, ObjectKind_t *kind);
+gboolean Declarations_parseKind(const char *name, ObjectKind_t *kind);
 
 /**
  * Declarations_load() - read files or directories of *.ini files
- * @paths: ended by NULL
- * @problems: gets every fault, names that stand twice and references to
- *     nothing among them
+ * @paths: NULL-terminated
+ * @problems: receives every fault, including duplicate sections and references
+ *     to undeclared objects
  *
- * Return: a list of Object_t by kind and name that frees its members
+ * Return: the valid objects as Object_t, sorted by kind and name; the list
+ * frees its members
  */
 GPtrArray *Declarations_load(char **paths, GPtrArray *problems);
 
 /**
- * Declarations_reference() - append the reference of all keys in Markdown
+ * Declarations_appendReference() - append a Markdown reference of all keys
  */
-void Declarations_reference(GString *out);
+void Declarations_appendReference(GString *out);
 
 #endif
--- a/src/IniFile.c
+++ b/src/IniFile.c
@@ -4,8 +4,8 @@
 
 #include "Problem.h"
 
-/* Between section and key in the names of the line index; no INI name has
- * it. */
+/* Separates section and key in the line index. Names in an INI file can't
+ * contain a newline. */
 #define INDEX_SEPARATOR "\n"
 
 struct IniFile {
@@ -28,8 +28,8 @@
 }
 
 static void
-note_line(IniFile_t *this, GPtrArray *problems, guint number,
-          const char *section, const char *key)
+index_line(IniFile_t *this, GPtrArray *problems, guint number,
+           const char *section, const char *key)
 {
     ProblemKind_t kind =
         key ? PROBLEM_DUPLICATE_KEY : PROBLEM_DUPLICATE_SECTION;
@@ -43,17 +43,17 @@
 }
 
 static char *
-section_of(const char *line)
+parse_section_name(const char *line)
 {
     const char *end = strchr(line, ']');
     return end ? g_strndup(line + 1, (gsize)(end - line - 1)) : NULL;
 }
 
 static char *
-key_of(const char *line)
+parse_key_name(const char *line)
 {
-    const char *sign = strchr(line, '=');
-    return sign ? g_strchomp(g_strndup(line, (gsize)(sign - line))) : NULL;
+    const char *equals = strchr(line, '=');
+    return equals ? g_strchomp(g_strndup(line, (gsize)(equals - line))) : NULL;
 }
 
 static void
@@ -68,25 +68,25 @@
         }
         if (*line == '[') {
             g_free(section);
-            section = section_of(line);
+            section = parse_section_name(line);
             if (section) {
-                note_line(this, problems, i + 1, section, NULL);
+                index_line(this, problems, i + 1, section, NULL);
             }
             continue;
         }
-        g_autofree char *key = key_of(line);
+        g_autofree char *key = parse_key_name(line);
         if (section && key) {
-            note_line(this, problems, i + 1, section, key);
+            index_line(this, problems, i + 1, section, key);
             continue;
         }
         Problems_add(problems, PROBLEM_SYNTAX, this->path, i + 1, section,
-                     NULL, "neither a section nor key = value");
+                     NULL, "expected [section] or key = value");
     }
 }
 
-/* GKeyFile knows only '#' comments; ';' is what INI files use as well. */
+/* GKeyFile supports only '#' comments, but INI files commonly use ';' too. */
 static char *
-without_semicolon_comments(const char *text)
+convert_semicolon_comments(const char *text)
 {
     char **lines = g_strsplit(text, "\n", -1);
     for (guint i = 0; lines[i]; i++) {
@@ -100,9 +100,10 @@
     return joined;
 }
 
-/* What stands behind a NUL would be passed over without a word. */
+/* GKeyFile gets the text as a C string, so anything after a NUL byte would be
+ * ignored silently. */
 static void
-refuse_nul(const char *path, const char *text, gsize length,
+reject_nul(const char *path, const char *text, gsize length,
            GPtrArray *problems)
 {
     if (strlen(text) == length) {
@@ -113,7 +114,7 @@
         line += *at == '\n' ? 1 : 0;
     }
     Problems_add(problems, PROBLEM_SYNTAX, path, line, NULL, NULL,
-                 "a NUL, behind which nothing is read");
+                 "NUL byte; the text after it can't be read");
 }
 
 IniFile_t *
@@ -131,13 +132,13 @@
     this->path = g_strdup(path);
     this->keys = g_key_file_new();
     this->lines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    guint before = problems->len;
-    refuse_nul(path, text, length, problems);
+    guint problems_before = problems->len;
+    reject_nul(path, text, length, problems);
     index_lines(this, text, problems);
-    g_autofree char *plain = without_semicolon_comments(text);
-    gboolean good = g_key_file_load_from_data(this->keys, plain, (gsize)-1,
-                                              G_KEY_FILE_NONE, &error);
-    if (!good && problems->len == before) {
+    g_autofree char *converted = convert_semicolon_comments(text);
+    gboolean loaded = g_key_file_load_from_data(
+        this->keys, converted, (gsize)-1, G_KEY_FILE_NONE, &error);
+    if (!loaded && problems->len == problems_before) {
         Problems_add(problems, PROBLEM_SYNTAX, path, 0, NULL, NULL,
                      error->message);
     }
--- a/src/IniFile.h
+++ b/src/IniFile.h
@@ -3,8 +3,8 @@
 /**
  * DOC: IniFile
  *
- * An INI file read by GKeyFile, with what GKeyFile does not tell: the line
- * of each section and key, and which of them stand twice.
+ * An INI file, parsed by GKeyFile. Adds what GKeyFile does not report: the
+ * line number of each section and key, and duplicates of either.
  */
 #include <glib.h>
 
@@ -14,43 +14,42 @@
 typedef struct IniFile IniFile_t;
 
 /**
- * IniFile_create() - read a file
- * @path: where it is
- * @problems: gets every fault of its form
+ * IniFile_create() - read and parse a file
+ * @problems: receives every syntax error and duplicate
  *
- * Return: the file, also where only some lines are at fault; NULL where
- * nothing can be read
+ * Return: the file, even if some lines are faulty; NULL if it can't be read
  */
 IniFile_t *IniFile_create(const char *path, GPtrArray *problems);
 
 /**
- * IniFile_destroy() - free it
+ * IniFile_destroy() - free the file
  */
 void IniFile_destroy(IniFile_t *this);
 
 /**
- * IniFile_path() - as it was given
+ * IniFile_path() - path as passed to IniFile_create()
  */
 const char *IniFile_path(const IniFile_t *this);
 
 /**
- * IniFile_sections() - names of all sections in their order
+ * IniFile_sections() - names of all sections, in file order
  *
- * Return: a NULL-ended array, freed by g_strfreev()
+ * Return: a NULL-terminated array, freed with g_strfreev()
  */
 char **IniFile_sections(const IniFile_t *this);
 
 /**
- * IniFile_fields() - the keys and values of a section
+ * IniFile_fields() - keys and values of a section
  *
- * Return: a new table of text to text, both owned by it
+ * Return: a new table, key -> value, that owns its strings
  */
 GHashTable *IniFile_fields(const IniFile_t *this, const char *section);
 
 /**
- * IniFile_line() - where a section (@key NULL) or a key stands
+ * IniFile_line() - find the line of a section or key
+ * @key: NULL for the line of the section itself
  *
- * Return: counted from 1, 0 where it does not stand
+ * Return: line number from 1, or 0 if the file does not contain it
  */
 guint IniFile_line(const IniFile_t *this, const char *section,
                    const char *key);
--- a/src/KeyTable.c
+++ b/src/KeyTable.c
@@ -9,7 +9,7 @@
 #include "Problem.h"
 
 #define NAME_MAX_LENGTH 64
-/* Two numbers of 64 bits and the words between them. */
+/* Fits two 64-bit numbers and the words around them. */
 #define DETAIL_SIZE 64
 
 typedef struct {
@@ -23,7 +23,7 @@
     void *slot;
     ProblemKind_t fault;
     const char *detail;
-    char text[DETAIL_SIZE]; /* of a detail with figures */
+    char text[DETAIL_SIZE]; /* storage for a detail with numbers */
 } Parse_t;
 
 static const Unit_t duration_units[] = {
@@ -35,7 +35,7 @@
 static const Unit_t no_units[] = {{"", 1}, {NULL, 0}};
 
 gboolean
-KeyTable_nameIsGood(const char *name)
+KeyTable_isValidName(const char *name)
 {
     size_t length = strlen(name);
     if (length == 0 || length > NAME_MAX_LENGTH) {
@@ -50,7 +50,7 @@
 }
 
 static gboolean
-fail(Parse_t *parse, ProblemKind_t fault, const char *detail)
+set_fault(Parse_t *parse, ProblemKind_t fault, const char *detail)
 {
     parse->fault = fault;
     parse->detail = detail;
@@ -67,9 +67,9 @@
 static gboolean
 parse_name(Parse_t *parse)
 {
-    if (!KeyTable_nameIsGood(parse->value)) {
-        return fail(parse, PROBLEM_BAD_NAME,
-                    "expected letters, digits, '-', '_' or '.'");
+    if (!KeyTable_isValidName(parse->value)) {
+        return set_fault(parse, PROBLEM_BAD_NAME,
+                         "expected letters, digits, '-', '_' or '.'");
     }
     return parse_text(parse);
 }
@@ -91,20 +91,21 @@
         if (*part == '\0') {
             continue;
         }
-        if (!KeyTable_nameIsGood(part)) {
-            return fail(parse, PROBLEM_BAD_NAME,
-                        "expected names with commas between");
+        if (!KeyTable_isValidName(part)) {
+            return set_fault(parse, PROBLEM_BAD_NAME,
+                             "expected names separated by commas");
         }
         g_ptr_array_add(names, g_string_new(part));
     }
     return TRUE;
 }
 
-/* As much as fits behind a number: a unit has at most three letters. */
-#define NUMBER_TEXT_MAX 64
+/* Longest accepted text of a number with its unit; units have at most three
+ * letters. */
+#define NUMBER_MAX_LENGTH 64
 
-/* Reads digits with or without a fraction and an exponent. Words that strtod()
- * knows besides, such as "inf" or hex digits, are no numbers here. */
+/* Parses a decimal number, which may have a fraction and an exponent. Rejects
+ * the other forms that strtod() accepts, such as "inf" or hex digits. */
 static gboolean
 read_decimal(const char *text, double *number, char **end)
 {
@@ -118,34 +119,35 @@
 }
 
 static gboolean
-fail_range(Parse_t *parse)
+set_range_fault(Parse_t *parse)
 {
     g_snprintf(parse->text, sizeof(parse->text),
                "expected %" G_GINT64_FORMAT " to %" G_GINT64_FORMAT,
                parse->key->min, parse->key->max);
-    return fail(parse, PROBLEM_OUT_OF_RANGE, parse->text);
+    return set_fault(parse, PROBLEM_OUT_OF_RANGE, parse->text);
 }
 
-/* A fraction of the smallest unit is left out, which keeps below a limit that
- * was computed, such as a total divided by a count of routers. */
+/* Truncates a fraction of the smallest unit. Rounding up could exceed a limit
+ * that was computed, such as a total divided by the number of routers. */
 static gboolean
 parse_number(Parse_t *parse, const Unit_t *units)
 {
     char *end = NULL;
     double number = 0;
-    if (strlen(parse->value) > NUMBER_TEXT_MAX ||
+    if (strlen(parse->value) > NUMBER_MAX_LENGTH ||
         !read_decimal(parse->value, &number, &end)) {
-        return fail(parse, PROBLEM_BAD_VALUE, "expected a number");
+        return set_fault(parse, PROBLEM_BAD_VALUE, "expected a number");
     }
     while (units->suffix && strcmp(units->suffix, end) != 0) {
         units++;
     }
     if (!units->suffix) {
-        return fail(parse, PROBLEM_BAD_UNIT, "the unit does not fit the key");
+        return set_fault(parse, PROBLEM_BAD_UNIT,
+                         "unit is not valid for this key");
     }
     double value = number * (double)units->factor;
     if (value < (double)parse->key->min || value > (double)parse->key->max) {
-        return fail_range(parse);
+        return set_range_fault(parse);
     }
     *(gint64 *)parse->slot = (gint64)value;
     return TRUE;
@@ -172,7 +174,7 @@
 static gboolean
 read_address(const char *text, Address_t *address)
 {
-    unsigned char ignored[sizeof(struct in6_addr)];
+    unsigned char parsed[sizeof(struct in6_addr)];
     const char *colon = strrchr(text, ':');
     size_t length = colon ? (size_t)(colon - text) : 0;
     guint64 port = 0;
@@ -181,7 +183,7 @@
     }
     memcpy(address->host, text, length);
     address->host[length] = '\0';
-    if (inet_pton(AF_INET, address->host, ignored) != 1 ||
+    if (inet_pton(AF_INET, address->host, parsed) != 1 ||
         !g_ascii_string_to_unsigned(colon + 1, 10, 0, G_MAXUINT16, &port,
                                     NULL)) {
         return FALSE;
@@ -194,8 +196,8 @@
 parse_address(Parse_t *parse)
 {
     return read_address(parse->value, parse->slot) ||
-           fail(parse, PROBLEM_BAD_VALUE,
-                "expected an IP number and a port, IP:PORT");
+           set_fault(parse, PROBLEM_BAD_VALUE,
+                     "expected an IP address and a port, IP:PORT");
 }
 
 static gboolean
@@ -211,8 +213,8 @@
             continue;
         }
         if (!read_address(part, &address)) {
-            return fail(parse, PROBLEM_BAD_VALUE,
-                        "expected IP:PORT with commas between");
+            return set_fault(parse, PROBLEM_BAD_VALUE,
+                             "expected IP:PORT addresses separated by commas");
         }
         g_array_append_val(addresses, address);
     }
@@ -225,14 +227,14 @@
     size_t digits = strlen(parse->value);
     for (size_t i = 0; i < digits; i++) {
         if (!g_ascii_isxdigit(parse->value[i])) {
-            return fail(parse, PROBLEM_BAD_VALUE, "expected hex digits");
+            return set_fault(parse, PROBLEM_BAD_VALUE, "expected hex digits");
         }
     }
     gint64 length = (gint64)digits / 2;
     if (digits % 2 != 0 || length < parse->key->min ||
         length > parse->key->max) {
-        return fail(parse, PROBLEM_OUT_OF_RANGE,
-                    "the count of hex digits does not fit");
+        return set_fault(parse, PROBLEM_OUT_OF_RANGE,
+                         "wrong number of hex digits");
     }
     guint8 *bytes = g_malloc((gsize)MAX(length, 1));
     for (gint64 i = 0; i < length; i++) {
@@ -253,7 +255,7 @@
             return TRUE;
         }
     }
-    return fail(parse, PROBLEM_BAD_VALUE, parse->key->choices);
+    return set_fault(parse, PROBLEM_BAD_VALUE, parse->key->choices);
 }
 
 typedef gboolean (*ParseValue_t)(Parse_t *parse);
@@ -299,8 +301,8 @@
 }
 
 static void
-refuse_unknown(const SectionSpec_t *spec, GHashTable *fields, KeyPlace_t place,
-               GPtrArray *problems)
+reject_unknown_keys(const SectionSpec_t *spec, GHashTable *fields,
+                    KeyPlace_t place, GPtrArray *problems)
 {
     GHashTableIter iter;
     gpointer name = NULL;
@@ -323,12 +325,11 @@
     return FALSE;
 }
 
-/* A template leaves nothing, or nothing but the unit, where its figure is not
- * given. For a key that may be left out that is the same as not to write it:
- * all routers share the template, so a fault would keep each of them from
- * starting. */
+/* A settings template whose number is not given yields an empty value or only
+ * the unit. For an optional key, this counts as absent: all routers share the
+ * template, so rejecting the value would keep each of them from starting. */
 static gboolean
-is_left_out(const KeySpec_t *key, const char *value)
+is_empty_number(const KeySpec_t *key, const char *value)
 {
     switch (key->type) {
     case KEY_INTEGER:
@@ -345,19 +346,20 @@
 }
 
 static const char *
-written_value(const KeySpec_t *key, GHashTable *fields)
+find_value(const KeySpec_t *key, GHashTable *fields)
 {
     const char *value = g_hash_table_lookup(fields, key->name);
-    return value && !key->required && is_left_out(key, value) ? NULL : value;
+    return value && !key->required && is_empty_number(key, value) ? NULL
+                                                                  : value;
 }
 
 void
 KeyTable_fill(const SectionSpec_t *spec, GHashTable *fields, KeyPlace_t place,
               void *out, GPtrArray *problems)
 {
-    refuse_unknown(spec, fields, place, problems);
+    reject_unknown_keys(spec, fields, place, problems);
     for (const KeySpec_t *key = spec->keys; key->name; key++) {
-        const char *value = written_value(key, fields);
+        const char *value = find_value(key, fields);
         if (!value && key->required) {
             add_problem(problems, place, PROBLEM_MISSING_KEY, key->name, NULL);
             continue;
@@ -377,34 +379,35 @@
 }
 
 static gboolean
-same_texts(const GString *one, const GString *other)
+strings_equal(const GString *one, const GString *other)
 {
     return one && other ? g_string_equal(one, other) : one == other;
 }
 
 static gboolean
-same_addresses(const GArray *one, const GArray *other)
+addresses_equal(const GArray *one, const GArray *other)
 {
     return one->len == other->len &&
            (one->len == 0 ||
             memcmp(one->data, other->data, one->len * sizeof(Address_t)) == 0);
 }
 
-/* Addresses are compared as memory: what is not written of them is zero. */
+/* Compares addresses as memory, which works as the bytes of host after its NUL
+ * are zero. */
 static gboolean
-is_same(const KeySpec_t *key, const void *one, const void *other)
+values_equal(const KeySpec_t *key, const void *one, const void *other)
 {
     switch (key->type) {
     case KEY_TEXT:
     case KEY_NAME:
-        return same_texts(*(GString *const *)one, *(GString *const *)other);
+        return strings_equal(*(GString *const *)one, *(GString *const *)other);
     case KEY_NAMES:
         return Names_equal(*(GPtrArray *const *)one,
                            *(GPtrArray *const *)other);
     case KEY_ADDRESS:
         return memcmp(one, other, sizeof(Address_t)) == 0;
     case KEY_ADDRESSES:
-        return same_addresses(*(GArray *const *)one, *(GArray *const *)other);
+        return addresses_equal(*(GArray *const *)one, *(GArray *const *)other);
     case KEY_HEX:
         return g_bytes_equal(*(GBytes *const *)one, *(GBytes *const *)other);
     default:
@@ -413,17 +416,17 @@
 }
 
 void
-KeyTable_takeLive(const SectionSpec_t *spec, void *out, const void *fresh,
-                  GPtrArray *waiting)
+KeyTable_applyLive(const SectionSpec_t *spec, void *out, const void *updated,
+                   GPtrArray *restart_keys)
 {
     for (const KeySpec_t *key = spec->keys; key->name; key++) {
         void *slot = (char *)out + key->offset;
-        const void *wanted = (const char *)fresh + key->offset;
+        const void *new_value = (const char *)updated + key->offset;
         if (key->live) {
-            *(gint64 *)slot = *(const gint64 *)wanted;
+            *(gint64 *)slot = *(const gint64 *)new_value;
         }
-        else if (!is_same(key, slot, wanted)) {
-            g_ptr_array_add(waiting, (gpointer)key);
+        else if (!values_equal(key, slot, new_value)) {
+            g_ptr_array_add(restart_keys, (gpointer)key);
         }
     }
 }
@@ -462,7 +465,7 @@
 }
 
 static gboolean
-has_live(const SectionSpec_t *spec)
+has_live_keys(const SectionSpec_t *spec)
 {
     for (const KeySpec_t *key = spec->keys; key->name; key++) {
         if (key->live) {
@@ -473,11 +476,12 @@
 }
 
 void
-KeyTable_reference(const SectionSpec_t *spec, GString *out)
+KeyTable_appendReference(const SectionSpec_t *spec, GString *out)
 {
-    g_string_append_printf(
-        out, "\n## [%s]\n\n%s%s\n\n", spec->name, spec->doc,
-        has_live(spec) ? " Keys with a star are read again by SIGHUP." : "");
+    g_string_append_printf(out, "\n## [%s]\n\n%s%s\n\n", spec->name, spec->doc,
+                           has_live_keys(spec)
+                               ? " SIGHUP reloads the keys marked with a star."
+                               : "");
     g_string_append(out, "| key | type | range | default | meaning |\n"
                          "|---|---|---|---|---|\n");
     for (const KeySpec_t *key = spec->keys; key->name; key++) {
--- a/src/KeyTable.h
+++ b/src/KeyTable.h
@@ -3,24 +3,24 @@
 /**
  * DOC: KeyTable
  *
- * One table describes the keys of a section: name, type, unit, range and
- * default. The same table checks values, fills the section's struct and
- * prints the reference page.
+ * A table describes the keys of a section: name, type, unit, range and
+ * default. It is used to validate values, to fill the section's struct and to
+ * print the reference page.
  */
 #include <glib.h>
 
 /**
- * enum KeyType_t - how a value is written and what it becomes
+ * enum KeyType_t - text form of a value; C type in the section's struct
  * @KEY_TEXT: any text; GString *
- * @KEY_NAME: a name of an object; GString *
- * @KEY_NAMES: names with commas between; GPtrArray * of GString *
- * @KEY_INTEGER: number; gint64, a fraction is left out
+ * @KEY_NAME: name of an object; GString *
+ * @KEY_NAMES: names separated by commas; GPtrArray * of GString *
+ * @KEY_INTEGER: number, truncated to an integer; gint64
  * @KEY_DURATION: number with ms, s, m or h; gint64 in milliseconds
  * @KEY_SIZE: number with B, KiB, MiB or GiB; gint64 in bytes
- * @KEY_ADDRESS: IP number and port; Address_t
- * @KEY_ADDRESSES: addresses with commas between; GArray * of Address_t
- * @KEY_HEX: an even count of hex digits; GBytes *
- * @KEY_CHOICE: one of the words in choices; gint64, its place from 0
+ * @KEY_ADDRESS: IPv4 address and port; Address_t
+ * @KEY_ADDRESSES: addresses separated by commas; GArray * of Address_t
+ * @KEY_HEX: an even number of hex digits; GBytes *
+ * @KEY_CHOICE: one of the words in choices; gint64, index of the word
  */
 typedef enum {
     KEY_TEXT,
@@ -35,12 +35,13 @@
     KEY_CHOICE,
 } KeyType_t;
 
+/** INET6_ADDRSTRLEN, the size of the longest IP address as text */
 #define ADDRESS_HOST_SIZE 46
 
 /**
- * struct Address_t - where a process listens
- * @host: IP number as text
- * @port: TCP port; 0 for one that the system chooses
+ * struct Address_t - address that a process listens on
+ * @host: IP address as text
+ * @port: TCP port; 0 to let the system choose one
  */
 typedef struct {
     char host[ADDRESS_HOST_SIZE];
@@ -48,17 +49,18 @@
 } Address_t;
 
 /**
- * struct KeySpec_t - one key
- * @name: as written
- * @type: how its value is read
- * @required: refuse a section without it
- * @fallback: value where it is not written, or NULL for none
- * @min: smallest number, or least bytes of a KEY_HEX
- * @max: largest number, or most bytes of a KEY_HEX
- * @choices: words of a KEY_CHOICE with commas between
- * @offset: where the value goes in the section's struct
+ * struct KeySpec_t - description of one key
+ * @name: name of the key in the file
+ * @type: how the value is parsed
+ * @required: whether a section without this key is rejected
+ * @fallback: value used if the key is absent, or NULL for none
+ * @min: smallest number, or smallest number of bytes of a KEY_HEX
+ * @max: largest number, or largest number of bytes of a KEY_HEX
+ * @choices: words of a KEY_CHOICE, separated by commas
+ * @offset: offset of the value in the section's struct
  * @doc: one sentence for the reference page
- * @live: a number that may change while the program runs
+ * @live: whether a reload may change the value while the program runs; only
+ *     for types that are stored as gint64
  */
 typedef struct {
     const char *name;
@@ -73,14 +75,14 @@
     gboolean live;
 } KeySpec_t;
 
-/** Written behind the sentence of a key that may change */
+/** Value of KeySpec_t.live, for readable tables */
 #define KEY_LIVE TRUE
 
 /**
- * struct SectionSpec_t - one kind of section
- * @name: its name, or for declarations the kind before the object's name
- * @keys: ended by a spec without a name
- * @size: bytes of the struct that the keys fill
+ * struct SectionSpec_t - description of one kind of section
+ * @name: name of the section, or of the kind in a section "[kind name]"
+ * @keys: terminated by a spec whose name is NULL
+ * @size: size of the section's struct in bytes
  * @doc: one sentence for the reference page
  */
 typedef struct {
@@ -91,8 +93,8 @@
 } SectionSpec_t;
 
 /**
- * struct KeyPlace_t - where fields were read, for problems
- * @ini: an IniFile_t, or NULL where the fields came from the log or an RPC
+ * struct KeyPlace_t - source of a section's fields, for problems
+ * @ini: the IniFile_t, or NULL for fields from the log or an RPC
  * @section: full name of the section
  */
 typedef struct {
@@ -101,42 +103,42 @@
 } KeyPlace_t;
 
 /**
- * KeyTable_fill() - check a section's fields and fill its struct
+ * KeyTable_fill() - validate a section's fields and fill its struct
  *
- * A number or word that may be left out and is empty, or a unit alone, counts
- * as not written.
+ * An optional number or choice counts as absent if its value is empty or only
+ * a unit.
  *
- * @fields: text to text
- * @out: @spec->size bytes of zeros
- * @problems: gets every fault; may not be NULL
+ * @fields: key -> value, both as text
+ * @out: @spec->size zero bytes
+ * @problems: receives every fault; must not be NULL
  */
 void KeyTable_fill(const SectionSpec_t *spec, GHashTable *fields,
                    KeyPlace_t place, void *out, GPtrArray *problems);
 
 /**
- * KeyTable_takeLive() - take what may change while the program runs
- * @out: struct in use, of @spec
- * @fresh: another one, of a newer file
- * @waiting: gets the KeySpec_t * of each other key that differs
+ * KeyTable_applyLive() - copy the values of all live keys
+ * @out: section struct in use
+ * @updated: section struct filled from the newer file
+ * @restart_keys: receives the KeySpec_t * of each key that is not live and
+ *     whose value differs
  */
-void KeyTable_takeLive(const SectionSpec_t *spec, void *out, const void *fresh,
-                       GPtrArray *waiting);
+void KeyTable_applyLive(const SectionSpec_t *spec, void *out,
+                        const void *updated, GPtrArray *restart_keys);
 
 /**
- * KeyTable_clear() - free what KeyTable_fill() put into a struct
+ * KeyTable_clear() - free the values in a struct and zero it
  */
 void KeyTable_clear(const SectionSpec_t *spec, void *out);
 
 /**
- * KeyTable_nameIsGood() - whether a text may name an object
- *
- * Letters, digits, '-', '_' and '.', 1 to 64 of them.
+ * KeyTable_isValidName() - whether a text is a valid name of an object: 1 to
+ * 64 characters, each a letter, a digit, '-', '_' or '.'
  */
-gboolean KeyTable_nameIsGood(const char *name);
+gboolean KeyTable_isValidName(const char *name);
 
 /**
- * KeyTable_reference() - append the reference of a section in Markdown
+ * KeyTable_appendReference() - append a Markdown reference of a section's keys
  */
-void KeyTable_reference(const SectionSpec_t *spec, GString *out);
+void KeyTable_appendReference(const SectionSpec_t *spec, GString *out);
 
 #endif
--- a/src/Names.h
+++ b/src/Names.h
@@ -3,11 +3,11 @@
 /**
  * DOC: Names
  *
- * Lists of names, each a GString.
+ * Lists of names, held as GPtrArray of GString.
  */
 #include <glib.h>
 
-/** Names_equal() - whether both hold the same texts in the same order */
+/** Names_equal() - whether two lists hold the same names in the same order */
 gboolean Names_equal(const GPtrArray *one, const GPtrArray *other);
 
 #endif
--- a/src/NativeParts.c
+++ b/src/NativeParts.c
@@ -162,7 +162,7 @@
     switch (message->body_case) {
     case WT__PEER_MESSAGE__BODY_CONFIG_PULL:
     case WT__PEER_MESSAGE__BODY_CONFIG_PUSH:
-        ConfigSync_take(this->sync, from, message);
+        ConfigSync_receive(this->sync, from, message);
         break;
     case WT__PEER_MESSAGE__BODY_CLAIM_CALL:
     case WT__PEER_MESSAGE__BODY_CLAIM_REPLY:
--- a/src/OperatorCommands.c
+++ b/src/OperatorCommands.c
@@ -20,7 +20,7 @@
     Wt__ErrorCode code;
     const char *message;
 } outcomes[] = {
-    [COMMAND_TAKEN] = {WT__ERROR_CODE__ERROR_NONE, ""},
+    [COMMAND_APPLIED] = {WT__ERROR_CODE__ERROR_NONE, ""},
     [COMMAND_CONFLICT] = {WT__ERROR_CODE__ERROR_CONFLICT,
                           "another change came first"},
     [COMMAND_NOT_APPENDED] = {WT__ERROR_CODE__ERROR_LOG_UNAVAILABLE,
@@ -28,8 +28,9 @@
     [COMMAND_UNKNOWN] = {WT__ERROR_CODE__ERROR_OUTCOME_UNKNOWN,
                          "the change may have been applied or may yet be; "
                          "query CommandResult with the same command_id"},
-    [COMMAND_LOG_WENT_BACK] = {WT__ERROR_CODE__ERROR_LOG_WENT_BACK,
-                               "the log has lost records that are in force"},
+    [COMMAND_LOG_LOST_RECORDS] =
+        {WT__ERROR_CODE__ERROR_LOG_WENT_BACK,
+         "the log has lost records that are in force"},
 };
 
 static void
@@ -49,7 +50,7 @@
 }
 
 void
-OperatorCommands_sendOutcome(const Context_t *context, CommandEnd_t end,
+OperatorCommands_sendOutcome(const Context_t *context, CommandResult_t end,
                              guint64 revision, Wt__Change **changes,
                              gsize change_count,
                              Wt__ApplyResponse_Closure closure,
@@ -66,7 +67,7 @@
     g_autofree Wt__ChangeResult **list =
         g_new0(Wt__ChangeResult *, change_count + 1);
     for (gsize i = 0; i < change_count; i++) {
-        fill_result(context, changes[i], end == COMMAND_TAKEN, &results[i]);
+        fill_result(context, changes[i], end == COMMAND_APPLIED, &results[i]);
         list[i] = &results[i];
     }
     response.n_results = change_count;
@@ -75,7 +76,7 @@
 }
 
 static void
-on_command_done(CommandEnd_t end, guint64 revision, void *data)
+on_command_done(CommandResult_t end, guint64 revision, void *data)
 {
     PendingApply_t *pending = data;
     Log_begin(LOG_LEVEL_INFO, "command_done");
--- a/src/OperatorCommands.h
+++ b/src/OperatorCommands.h
@@ -21,9 +21,9 @@
  * OperatorCommands_sendOutcome() - send the outcome of a command
  * @changes: changes of the command; empty if they are not known
  */
-void OperatorCommands_sendOutcome(const Context_t *context, CommandEnd_t end,
-                                  guint64 revision, Wt__Change **changes,
-                                  gsize change_count,
+void OperatorCommands_sendOutcome(const Context_t *context,
+                                  CommandResult_t end, guint64 revision,
+                                  Wt__Change **changes, gsize change_count,
                                   Wt__ApplyResponse_Closure closure,
                                   void *closure_data);
 
--- a/src/OperatorQueries.c
+++ b/src/OperatorQueries.c
@@ -42,11 +42,11 @@
     (void)service;
     GBytes *id = g_bytes_new(input->command_id.data, input->command_id.len);
     const ConfigOutcome_t *outcome =
-        ConfigStore_outcome(the_context->config, id);
+        ConfigStore_findOutcome(the_context->config, id);
     g_bytes_unref(id);
-    CommandEnd_t end = COMMAND_UNKNOWN;
+    CommandResult_t end = COMMAND_UNKNOWN;
     if (outcome) {
-        end = outcome->taken ? COMMAND_TAKEN : COMMAND_CONFLICT;
+        end = outcome->taken ? COMMAND_APPLIED : COMMAND_CONFLICT;
     }
     OperatorCommands_sendOutcome(the_context, end,
                                  outcome ? outcome->revision : 0, NULL, 0,
--- a/src/Plan.c
+++ b/src/Plan.c
@@ -43,7 +43,7 @@
 }
 
 static gboolean
-is_same(const Object_t *object, const Wt__DeclaredObject *other)
+fields_equal(const Object_t *object, const Wt__DeclaredObject *other)
 {
     if (g_hash_table_size(object->fields) != other->n_fields) {
         return FALSE;
@@ -83,7 +83,7 @@
         if (!other) {
             add_step(steps, PLAN_ADD, kind, object->name->str, 0, object);
         }
-        else if (!is_same(object, other)) {
+        else if (!fields_equal(object, other)) {
             add_step(steps, PLAN_CHANGE, kind, object->name->str,
                      other->revision, object);
         }
@@ -113,7 +113,7 @@
     return names[action];
 }
 
-/* Messages are freed by protobuf-c, so their parts come from malloc(). */
+/* protobuf-c frees messages with free(), so GLib must not allocate them. */
 static gpointer
 allocate(gsize size)
 {
@@ -123,7 +123,7 @@
 }
 
 static Wt__Change *
-change_of_step(const PlanStep_t *step)
+create_change(const PlanStep_t *step)
 {
     Wt__Change *change = allocate(sizeof(*change));
     wt__change__init(change);
@@ -151,7 +151,7 @@
 }
 
 Wt__ApplyRequest *
-Plan_request(const GPtrArray *steps, guint first, guint count)
+Plan_createRequest(const GPtrArray *steps, guint first, guint count)
 {
     Wt__ApplyRequest *request = allocate(sizeof(*request));
     wt__apply_request__init(request);
@@ -161,7 +161,7 @@
     request->changes = allocate((count + 1) * sizeof(*request->changes));
     for (guint i = 0; i < count; i++) {
         request->changes[request->n_changes++] =
-            change_of_step(g_ptr_array_index(steps, first + i));
+            create_change(g_ptr_array_index(steps, first + i));
     }
     return request;
 }
--- a/src/Plan.h
+++ b/src/Plan.h
@@ -3,7 +3,8 @@
 /**
  * DOC: Plan
  *
- * The difference between a directory of declarations and what is in force.
+ * The steps that bring the declarations in force into line with a directory of
+ * declarations.
  */
 #include <glib.h>
 
@@ -11,17 +12,18 @@
 #include "operator.pb-c.h"
 
 /**
- * enum PlanAction_t - what is to be done with an object
+ * enum PlanAction_t - how a step changes an object
  */
 typedef enum { PLAN_ADD, PLAN_CHANGE, PLAN_REMOVE } PlanAction_t;
 
 /**
- * struct PlanStep_t - one object that differs
- * @action: what is to be done
- * @kind: word of the object's kind
- * @name: its name
- * @base_revision: what is in force now, 0 for none
- * @object: the new declaration, owned by the files' list; NULL to remove
+ * struct PlanStep_t - change to one object
+ * @action: how the object changes
+ * @kind: name of the object's kind
+ * @name: name of the object
+ * @base_revision: revision of the object in force, 0 if there is none
+ * @object: the new declaration, owned by the list passed to Plan_create();
+ * NULL for PLAN_REMOVE
  */
 typedef struct {
     PlanAction_t action;
@@ -32,13 +34,13 @@
 } PlanStep_t;
 
 /**
- * Plan_create() - compare
- * @declared: Object_t of the files
- * @in_force: answer of a router
- * @prune: remove what the files do not declare
+ * Plan_create() - compare declarations with those in force
+ * @declared: Object_t from files, sorted by kind; must outlive the plan
+ * @in_force: a router's answer with the objects in force, sorted by kind
+ * @prune: whether to remove objects that @declared lacks
  *
- * Return: PlanStep_t in the order in which they may be applied: what others
- * refer to is added first and removed last
+ * Return: list of PlanStep_t in an order in which they can be applied: an
+ * object is added before, and removed after, the objects that refer to it
  */
 GPtrArray *Plan_create(const GPtrArray *declared,
                        const Wt__GetResponse *in_force, gboolean prune);
@@ -47,13 +49,13 @@
 const char *Plan_actionName(PlanAction_t action);
 
 /**
- * Plan_request() - the command for a part of a plan
- * @first: first step
- * @count: how many
+ * Plan_createRequest() - create the command for consecutive steps of a plan
+ * @first: index of the first step
+ * @count: number of steps
  *
- * Return: freed by wt__apply_request__free_unpacked()
+ * Return: freed with wt__apply_request__free_unpacked()
  */
-Wt__ApplyRequest *Plan_request(const GPtrArray *steps, guint first,
-                               guint count);
+Wt__ApplyRequest *Plan_createRequest(const GPtrArray *steps, guint first,
+                                     guint count);
 
 #endif
--- a/src/Router.c
+++ b/src/Router.c
@@ -26,17 +26,19 @@
 #include "SettingsReload.h"
 
 #define STOP_CHECK_MS 50
-/* How long a stopping router goes on to record outcomes of claims. */
-#define CLAIMS_LIMIT_MS 5000
-/* Unknown ones as well, so that each is refused with a typed error. */
+/* How long a stopping router waits after the grace period for open claims to
+ * get their outcomes recorded. */
+#define CLAIMS_DRAIN_MAX_MS 5000
+/* Allows unknown HTTP methods too, as the API answers them with a typed error.
+ */
 #define ALL_METHODS G_MAXUINT16
 
 typedef struct {
     Settings_t *settings;
     Context_t context;
-    NativeParts_t *native; /* NULL where requests are relayed */
+    NativeParts_t *native; /* NULL if requests are relayed */
     RelayParts_t *relay;   /* NULL on the native platform */
-    RatePeers_t *rates;    /* NULL where each router has a share of limits */
+    RatePeers_t *rates;    /* NULL if each router enforces a share of limits */
     struct evhttp *callers;
     AcceptHold_t *hold; /* NULL on the native platform */
     struct evhttp *operators;
@@ -136,9 +138,10 @@
     return Membership_countActive(owner);
 }
 
-/* A router that can't be asked still has a share of its own. */
+/* A router without a datagram socket can't query the keepers of limits, so it
+ * enforces a share of each limit. */
 static void
-create_rates(Router_t *this)
+create_rate_limits(Router_t *this)
 {
     Context_t *context = &this->context;
     RatePeersSpec_t spec = {
@@ -173,7 +176,7 @@
 }
 
 static void
-free_rates(Router_t *this)
+free_rate_limits(Router_t *this)
 {
     if (this->rates) {
         RatePeers_destroy(this->rates);
@@ -209,9 +212,9 @@
     this->native = NativeParts_create(&this->context);
 }
 
-/* Port 0 in the settings lets the system choose. */
+/* Returns the actual port, as the system chooses one for port 0. */
 static guint16
-port_of(struct evhttp_bound_socket *bound)
+get_bound_port(struct evhttp_bound_socket *bound)
 {
     struct sockaddr_in address = {0};
     socklen_t size = sizeof(address);
@@ -220,9 +223,9 @@
     return ntohs(address.sin_port);
 }
 
-/* A connection keeps the bounds that it began with. */
+/* Applies to new connections only; open ones keep their limits. */
 static void
-set_bounds(const Router_t *this, struct evhttp *server)
+set_server_limits(const Router_t *this, struct evhttp *server)
 {
     const LimitsSection_t *limits = &this->settings->limits;
     struct timeval timeout = {limits->read_timeout_ms / 1000,
@@ -239,7 +242,7 @@
 {
     struct evhttp *server = evhttp_new(this->context.base);
     evhttp_set_gencb(server, handle, &this->context);
-    set_bounds(this, server);
+    set_server_limits(this, server);
     struct evhttp_bound_socket *bound =
         evhttp_bind_socket_with_handle(server, address->host, address->port);
     if (!bound) {
@@ -248,7 +251,7 @@
         evhttp_free(server);
         return NULL;
     }
-    *port = port_of(bound);
+    *port = get_bound_port(bound);
     return server;
 }
 
@@ -279,7 +282,7 @@
 }
 
 static void
-take_listener(struct evhttp_bound_socket *bound, void *data)
+get_listener(struct evhttp_bound_socket *bound, void *data)
 {
     struct evconnlistener **listener = data;
     *listener = evhttp_bound_socket_get_listener(bound);
@@ -291,12 +294,14 @@
     return RelayApi_canServe(owner);
 }
 
-/* Native routers know their declarations before they listen (bootstrap). */
+/* Leaves callers' connections in the kernel's queue until a router that relays
+ * requests can serve them. Native routers don't need this, as they load the
+ * bootstrap declarations before the event loop starts. */
 static void
-hold_callers(Router_t *this)
+create_accept_hold(Router_t *this)
 {
     AcceptHoldSpec_t spec = {.is_known = can_serve, .owner = &this->context};
-    evhttp_foreach_bound_socket(this->callers, take_listener, &spec.listener);
+    evhttp_foreach_bound_socket(this->callers, get_listener, &spec.listener);
     this->hold = AcceptHold_create(this->context.base, &spec);
 }
 
@@ -306,16 +311,17 @@
     (void)fd;
     (void)what;
     Router_t *this = data;
-    gint64 passed = Clock_nowMs() - this->stop_began_ms;
+    gint64 elapsed_ms = Clock_nowMs() - this->stop_began_ms;
     const RouterSection_t *settings = &this->settings->router;
-    this->context.refusing = passed >= settings->stop_grace_ms;
+    this->context.refusing = elapsed_ms >= settings->stop_grace_ms;
     guint claims =
         this->context.claims ? Claims_countPending(this->context.claims) : 0;
-    gboolean empty =
-        this->context.refusing && this->context.open_requests == 0 &&
-        PendingReply_count() == 0 &&
-        (claims == 0 || passed >= settings->stop_grace_ms + CLAIMS_LIMIT_MS);
-    if (empty || passed >= settings->stop_limit_ms) {
+    gboolean drained = this->context.refusing &&
+                       this->context.open_requests == 0 &&
+                       PendingReply_count() == 0 &&
+                       (claims == 0 || elapsed_ms >= settings->stop_grace_ms +
+                                                         CLAIMS_DRAIN_MAX_MS);
+    if (drained || elapsed_ms >= settings->stop_limit_ms) {
         event_base_loopbreak(this->context.base);
         return;
     }
@@ -343,7 +349,7 @@
     on_stop_timer(-1, 0, this);
 }
 
-/* Parts that keep a value of their own are told of it. */
+/* Passes the reloaded values to the modules that hold copies of them. */
 static void
 apply_settings(Router_t *this)
 {
@@ -354,17 +360,17 @@
                            (guint)limits->idle_connections);
     RetryBudget_setLimits(this->context.budget, (guint)limits->retry_percent,
                           (guint)limits->retry_allowance);
-    set_bounds(this, this->callers);
-    set_bounds(this, this->operators);
+    set_server_limits(this, this->callers);
+    set_server_limits(this, this->operators);
     if (this->readiness) {
-        set_bounds(this, this->readiness);
+        set_server_limits(this, this->readiness);
     }
     if (this->relay) {
         RelayParts_reload(this->relay);
     }
 }
 
-/* The platform changes the file before it sends the signal. */
+/* The platform changes the settings file before it sends SIGHUP. */
 static void
 on_reload_signal(evutil_socket_t fd, short what, void *data)
 {
@@ -376,10 +382,10 @@
     }
 }
 
-/* A signal that comes while handlers are freed would meet the default action
- * and end the router as if it had failed. */
+/* Once the event handlers are freed, a signal would have its default action
+ * and end the process as if the router had failed. */
 static void
-block_stop_signals(void)
+block_signals(void)
 {
     sigset_t stops;
     sigemptyset(&stops);
@@ -403,8 +409,9 @@
     event_add(this->on_hup, NULL);
 }
 
-/* Also what callers still have open ends here, in the loop, while the parts
- * that it uses are there: a request that was read later would meet none. */
+/* Runs the loop once after closing the listeners, so that callers' open
+ * requests end while the modules that they use still exist. A request that is
+ * processed later would use freed modules. */
 static void
 free_listeners(Router_t *this)
 {
@@ -420,7 +427,8 @@
     event_base_loop(this->context.base, EVLOOP_NONBLOCK);
 }
 
-/* Calls and links that were closed free themselves in the loop. */
+/* Runs the loop once at the end, as closed calls and links free themselves in
+ * it. */
 static void
 free_platform(Router_t *this)
 {
@@ -430,7 +438,7 @@
     else {
         NativeParts_destroy(this->native);
     }
-    free_rates(this);
+    free_rate_limits(this);
     UpstreamNotices_destroy(this->context.notices);
     UpstreamLimits_destroy(this->context.upstream_limits);
     Membership_destroy(this->context.membership);
@@ -457,7 +465,7 @@
 }
 
 static void
-log_event(const Router_t *this, const char *event)
+log_lifecycle(const Router_t *this, const char *event)
 {
     Log_begin(LOG_LEVEL_INFO, event);
     Log_text("router", this->settings->router.name->str);
@@ -471,8 +479,8 @@
     Log_end();
 }
 
-/* The changelist gathers changes of the event set between two waits, so
- * that those which undo each other never reach the kernel. */
+/* EPOLL_USE_CHANGELIST collects changes to the event set between two waits, so
+ * that changes which cancel each other cause no system call. */
 static struct event_base *
 create_base(void)
 {
@@ -496,17 +504,17 @@
         create_listeners(&this, error) && create_peers(&this, error);
     if (started) {
         create_datagrams(&this);
-        create_rates(&this);
+        create_rate_limits(&this);
         create_notices(&this.context);
         create_platform(&this);
         if (this.relay) {
-            hold_callers(&this);
+            create_accept_hold(&this);
         }
-        log_event(&this, "router_started");
+        log_lifecycle(&this, "router_started");
         event_base_dispatch(this.context.base);
-        log_event(&this, "router_stopped");
+        log_lifecycle(&this, "router_stopped");
     }
-    block_stop_signals();
+    block_signals();
     if (this.hold) {
         AcceptHold_destroy(this.hold);
     }
--- a/src/Router.h
+++ b/src/Router.h
@@ -3,8 +3,8 @@
 /**
  * DOC: Router
  *
- * The long-running role: it builds all parts, listens, and ends them in
- * order after SIGTERM, when all open requests have ended.
+ * The long-running router process. Creates all modules, listens, and after
+ * SIGTERM waits for the open requests to end before it frees the modules.
  */
 #include <glib.h>
 
@@ -12,12 +12,12 @@
 #include "Settings.h"
 
 /**
- * Router_run() - run until SIGTERM or SIGINT
- * @settings: must outlive it; read again after SIGHUP
- * @form: of the platform that the settings name; NULL for the native one
+ * Router_run() - run a router until SIGTERM or SIGINT
+ * @settings: reloaded on SIGHUP
+ * @form: form of the platform named in @settings; NULL for the native one
  * @error: WT_ERROR_LISTEN
  *
- * Return: FALSE where it could not start
+ * Return: FALSE if the router could not start
  */
 gboolean Router_run(Settings_t *settings, const PlatformForm_t *form,
                     GError **error);
--- a/src/Settings.c
+++ b/src/Settings.c
@@ -13,44 +13,48 @@
 #define R(member) offsetof(RouterSection_t, member)
 static const KeySpec_t router_keys[] = {
     {"name", KEY_NAME, TRUE, NULL, 0, 0, NULL, R(name),
-     "Name of this router, unlike any other's."},
+     "Unique name of this router."},
     {"hall", KEY_NAME, TRUE, NULL, 0, 0, NULL, R(hall),
-     "Hall that the instance stands in."},
+     "Hall of this router."},
     {"region", KEY_NAME, TRUE, NULL, 0, 0, NULL, R(region),
      "Region of the hall."},
     {"halls", KEY_NAMES, FALSE, "", 0, 0, NULL, R(halls),
-     "All halls that upstreams may stand in, where the platform's list names "
-     "the hall of an upstream but not its region; empty where all are of this "
-     "router's region."},
+     "All halls that may have upstreams, needed if the platform's list gives "
+     "the hall of an upstream but not its region; empty if all halls are in "
+     "this router's region."},
     {"hall_regions", KEY_NAMES, FALSE, "", 0, 0, NULL, R(hall_regions),
-     "Region of each of halls, in the same order."},
+     "Region of each of the halls in halls, in the same order."},
     {"listen", KEY_ADDRESS, TRUE, NULL, 0, 0, NULL, R(listen),
-     "Where callers and the balancer connect."},
+     "Address for callers and the load balancer."},
     {"ready_listen", KEY_ADDRESS, FALSE, NULL, 0, 0, NULL, R(ready_listen),
-     "Where a balancer asks for readiness, if not at listen; only where the "
-     "platform's form has routes."},
+     "Additional address for a load balancer's readiness checks; used only if "
+     "the platform's form has routes."},
     {"operator_listen", KEY_ADDRESS, TRUE, NULL, 0, 0, NULL,
-     R(operator_listen), "Where operators' RPCs and /metrics are served."},
+     R(operator_listen), "Address for operators' RPCs and /metrics."},
     {"policy", KEY_CHOICE, FALSE, "prefix", 0, 0,
      "prefix,least_loaded,round_robin,home", R(policy),
      "How an upstream is chosen: prefix is for engines that report their "
-     "caches, home for those that don't; the others are baselines."},
+     "caches, home for engines that don't; least_loaded and round_robin are "
+     "baselines for comparison."},
     {"customer_limits", KEY_CHOICE, FALSE, "ask", 0, 0, "ask,share",
      R(customer_limits),
-     "Who knows what a customer has taken of its limit: with ask one router "
-     "for each customer, with share each router lets in its part."},
+     "How a customer's limit is enforced over all routers: with ask, one "
+     "router "
+     "per customer counts and the others query it; with share, each router "
+     "admits its share of the limit."},
     {"stop_grace", KEY_DURATION, FALSE, "2s", 0, HOUR_MS, NULL,
      R(stop_grace_ms),
-     "After SIGTERM: not ready, but still taking requests, for so long.",
+     "After SIGTERM: how long requests are still accepted while the router "
+     "reports that it is not ready.",
      KEY_LIVE},
     {"stop_limit", KEY_DURATION, FALSE, "10m", 0, HOUR_MS, NULL,
-     R(stop_limit_ms), "After SIGTERM: open streams may go on for so long.",
+     R(stop_limit_ms), "After SIGTERM: how long open streams may continue.",
      KEY_LIVE},
     {"bootstrap", KEY_TEXT, FALSE, NULL, 0, 0, NULL, R(bootstrap),
      "File or directory of declarations to serve from while neither the log "
      "nor a peer has answered."},
     {"seed", KEY_INTEGER, FALSE, "0", 0, G_MAXINT32, NULL, R(seed),
-     "Seed of jitter and choice; 0 takes one from the system."},
+     "Seed of all random choices; 0 gets one from the system."},
     {NULL},
 };
 #undef R
@@ -58,9 +62,9 @@
 #define K(member) offsetof(KeysSection_t, member)
 static const KeySpec_t keys_keys[] = {
     {"seal", KEY_HEX, TRUE, NULL, KEY_BYTES, KEY_BYTES, NULL, K(seal),
-     "Seals resume tokens; the same on all routers."},
+     "Key that seals resume tokens; the same on all routers."},
     {"salt", KEY_HEX, TRUE, NULL, KEY_BYTES, KEY_BYTES, NULL, K(salt),
-     "Keys the cache salts; the same on all routers."},
+     "Key of the cache salts; the same on all routers."},
     {"operator_hash", KEY_HEX, TRUE, NULL, KEY_BYTES, KEY_BYTES, NULL,
      K(operator_hash),
      "BLAKE2b-256 of the operators' key (`wheattiller hash-key`)."},
@@ -71,18 +75,23 @@
 #define E(member) offsetof(PeersSection_t, member)
 static const KeySpec_t peers_keys[] = {
     {"listen", KEY_ADDRESS, TRUE, NULL, 0, 0, NULL, E(listen),
-     "Where other routers connect."},
+     "Address for other routers."},
     {"seeds", KEY_ADDRESSES, FALSE, "", 0, 0, NULL, E(seeds),
-     "Where other routers may listen; one that answers tells of the rest."},
+     "Addresses that other routers may listen on; one router that answers is "
+     "enough to learn the others."},
     {"gossip_budget", KEY_SIZE, FALSE, "3000B", 500, 1 << 20, NULL,
      E(gossip_budget),
-     "Most bytes of gossip sent in a second; a quarter as much again for news "
-     "of routers, which is saved up for two minutes.",
+     "Largest gossip traffic sent, in bytes per second; updates about routers "
+     "get a further quarter of it, of which up to two minutes' worth "
+     "accumulates.",
      KEY_LIVE},
     {"mesh_routers", KEY_INTEGER, FALSE, "16", 1, 1000, NULL, E(mesh_routers),
-     "Up to so many routers are linked with all others and tell each other "
-     "their loads; more of them are linked with a few, and one places for "
-     "each group of engines.",
+     "Largest number of routers that form a full mesh, in which each router "
+     "sends its load to all others. With more routers, each is linked with "
+     "only "
+     "some of the others, and one router places the requests for each group "
+     "of "
+     "engines.",
      KEY_LIVE},
     {NULL},
 };
@@ -91,43 +100,46 @@
 #define P(member) offsetof(PlatformSection_t, member)
 static const KeySpec_t platform_keys[] = {
     {"form", KEY_CHOICE, FALSE, "native", 0, 0, "native,fleet", P(form),
-     "Which platform this is: native is spoken by the project's own stand-ins "
-     "and configured by declarations, fleet is the users' platform with its "
-     "own routes."},
+     "Protocol of the platform: native is the one of the project's own "
+     "stand-ins and is configured by declarations, fleet is the one of the "
+     "users' platform, which has its own routes."},
     {"log", KEY_ADDRESS, TRUE, NULL, 0, 0, NULL, P(log),
-     "The append-only log service."},
+     "Address of the append-only log service."},
     {"instances", KEY_ADDRESS, TRUE, NULL, 0, 0, NULL, P(instances),
-     "The list of live and leaving instances."},
+     "Address of the list of live and leaving instances."},
     {"log_timeout", KEY_DURATION, FALSE, "2s", 10, HOUR_MS, NULL,
      P(log_timeout_ms), "How long an answer of the log may take."},
     {"log_poll", KEY_DURATION, FALSE, "10s", 10, HOUR_MS, NULL, P(log_poll_ms),
-     "How long the log may hold a read until there is news."},
+     "How long the log may hold a read until there are new records."},
     {"instances_poll", KEY_DURATION, FALSE, "500ms", 10, HOUR_MS, NULL,
-     P(instances_poll_ms), "Time between two reads of the instance list."},
+     P(instances_poll_ms), "Interval between reads of the list of instances."},
     {"command_timeout", KEY_DURATION, FALSE, "5s", 10, HOUR_MS, NULL,
      P(command_timeout_ms),
-     "How long an operator's command may take before its outcome is said to "
-     "be unknown."},
+     "How long an operator's command may take before its outcome is reported "
+     "as unknown."},
     {"snapshot_records", KEY_INTEGER, FALSE, "500", 2, 1 << 20, NULL,
      P(snapshot_records),
-     "After so many records of the configuration a snapshot is appended; the "
-     "log must keep several times as many.",
+     "Number of records of the configuration after which a snapshot is "
+     "appended; the log must retain several times as many.",
      KEY_LIVE},
     {"claim_horizon", KEY_DURATION, FALSE, "30m", 1000, HOUR_MS, NULL,
      P(claim_horizon_ms),
-     "How old an Idempotency-Key may be; the log must keep claims longer."},
+     "Largest age of an Idempotency-Key; the log must retain claims longer."},
     {"lease", KEY_DURATION, FALSE, "10s", 500, HOUR_MS, NULL, P(lease_ms),
      "How long the right to give orders lasts without a renewal."},
     {"order_timeout", KEY_DURATION, FALSE, "2s", 50, HOUR_MS, NULL,
      P(order_timeout_ms),
      "How long an engine's answer to an order may take; well below lease."},
     {"weight_loads", KEY_INTEGER, FALSE, "2", 1, 10000, NULL, P(weight_loads),
-     "Engines of a region that load weights at once, at the least.", KEY_LIVE},
+     "Number of engines of a region that may load weights at the same time.",
+     KEY_LIVE},
     {"load_percent", KEY_INTEGER, FALSE, "0", 0, 100, NULL, P(load_percent),
-     "So many of 100 engines may load at once where that is more.", KEY_LIVE},
+     "The same limit as weight_loads, as a percentage of the engines; the "
+     "larger of both applies.",
+     KEY_LIVE},
     {"fencing", KEY_CHOICE, FALSE, "false", 0, 0, "false,true", P(fencing),
-     "Whether all engines refuse an order with an old fencing number; a "
-     "router that stops then lets another one go on at once.",
+     "Whether all engines refuse an order with an old fencing number; if so, "
+     "another router can give orders as soon as this one stops.",
      KEY_LIVE},
     {NULL},
 };
@@ -137,44 +149,47 @@
 static const KeySpec_t relay_keys[] = {
     {"config_max_age", KEY_DURATION, FALSE, "3500ms", 100, HOUR_MS, NULL,
      A(config_max_age_ms),
-     "Requests with a key are refused once it is longer ago that the "
-     "configuration was known to be the newest; well below the time in which "
-     "a revoked key must stop working.",
+     "Requests with a key are refused if the configuration was last confirmed "
+     "to be the newest longer ago than this; must be well below the time in "
+     "which a revoked key must stop working.",
      KEY_LIVE},
     {"reader_wait", KEY_DURATION, FALSE, "700ms", 10, HOUR_MS, NULL,
      A(reader_wait_ms),
      "How long the store may hold a read of the configuration by one of the "
-     "few routers that ask for all; well below config_max_age.",
+     "few routers that read on behalf of all; must be well below "
+     "config_max_age.",
      KEY_LIVE},
     {"config_wait", KEY_DURATION, FALSE, "8s", 10, HOUR_MS, NULL,
      A(config_wait_ms),
-     "The other routers hear from peers what is new and how fresh it is; so "
-     "long after the last news each asks for itself.",
+     "The other routers receive the configuration and its age from peers; a "
+     "router that has received no update for this long reads the store "
+     "itself.",
      KEY_LIVE},
     {"leaving_limit", KEY_DURATION, FALSE, "2s", 200, HOUR_MS, NULL,
      A(leaving_limit_ms),
-     "How soon after the list says so an upstream must get no new work; sets "
-     "how often the list is read.",
+     "Time after the list says that an upstream is leaving, by which the "
+     "upstream must get no new work; determines how often the list is read.",
      KEY_LIVE},
     {"listing_return", KEY_DURATION, FALSE, "2500ms", 0, HOUR_MS, NULL,
      A(listing_return_ms),
-     "After the list of upstreams was out of reach: how long an entry that "
-     "has lapsed may take to come back.",
+     "After an outage of the list of upstreams: how long an entry that lapsed "
+     "during the outage may take to be listed again.",
      KEY_LIVE},
     {"weights_limit", KEY_DURATION, FALSE, "10s", 3000, HOUR_MS, NULL,
      A(weights_limit_ms),
-     "How long after a version of weights was named a request may still begin "
-     "on an older one.",
+     "How long after a version of weights was announced a request may still "
+     "begin on an older one.",
      KEY_LIVE},
     {"move_wait", KEY_DURATION, FALSE, "350ms", 10, HOUR_MS, NULL,
      A(move_wait_ms),
-     "How long the engine that a stream is moved to may take to its first "
-     "event, or the stream stays; below the time in which two engines may "
-     "both go on with it.",
+     "How long the engine that a stream is moved to may take for its first "
+     "event; after that, the stream stays on its engine. Must be below the "
+     "time "
+     "for which two engines may both generate the stream.",
      KEY_LIVE},
     {"refuse_late", KEY_CHOICE, FALSE, "no", 0, 0, "no,yes", A(refuse_late),
-     "Whether a request is refused at once where no engine is expected to "
-     "begin its answer within its route's objective.",
+     "Whether a request is refused at once if no engine is expected to begin "
+     "the answer within the objective of the request's route.",
      KEY_LIVE},
     {NULL},
 };
@@ -186,18 +201,17 @@
      "Largest body of a caller's request.", KEY_LIVE},
     {"max_header", KEY_SIZE, FALSE, "16KiB", 1024, 1 << 20, NULL,
      L(max_header),
-     "Largest head of a caller's request, or of an upstream's answer.",
+     "Largest header of a caller's request, or of an upstream's answer.",
      KEY_LIVE},
     {"read_timeout", KEY_DURATION, FALSE, "30s", 100, HOUR_MS, NULL,
      L(read_timeout_ms),
-     "How long a caller may pause while it sends or while we write to it.",
-     KEY_LIVE},
+     "How long a caller may pause while it sends or receives.", KEY_LIVE},
     {"connect_timeout", KEY_DURATION, FALSE, "1s", 10, HOUR_MS, NULL,
      L(connect_timeout_ms), "How long a connection to an upstream may take.",
      KEY_LIVE},
     {"first_token_timeout", KEY_DURATION, FALSE, "30s", 10, HOUR_MS, NULL,
      L(first_token_timeout_ms),
-     "How long an upstream may take to its first token or answer.", KEY_LIVE},
+     "How long an upstream may take for its first token or answer.", KEY_LIVE},
     {"token_timeout", KEY_DURATION, FALSE, "5s", 10, HOUR_MS, NULL,
      L(token_timeout_ms), "How long an upstream may pause within a stream.",
      KEY_LIVE},
@@ -205,61 +219,68 @@
      L(default_deadline_ms), "Deadline of a request that names none.",
      KEY_LIVE},
     {"max_attempts", KEY_INTEGER, FALSE, "4", 1, 16, NULL, L(max_attempts),
-     "Most attempts of one request.", KEY_LIVE},
+     "Largest number of attempts of one request.", KEY_LIVE},
     {"retry_percent", KEY_INTEGER, FALSE, "20", 0, 100, NULL, L(retry_percent),
-     "Retries may be so many of 100 requests for a target.", KEY_LIVE},
+     "Retries allowed for each 100 requests for a target.", KEY_LIVE},
     {"retry_allowance", KEY_INTEGER, FALSE, "10", 0, 100000, NULL,
      L(retry_allowance),
-     "Retries beyond that which all routers together may make at a target.",
+     "Further retries that all routers together may make at a target.",
      KEY_LIVE},
     {"backoff", KEY_DURATION, FALSE, "20ms", 0, HOUR_MS, NULL, L(backoff_ms),
      "Mean wait before the first retry; doubled for each further one.",
      KEY_LIVE},
     {"stream_buffer", KEY_SIZE, FALSE, "256KiB", 1024, 1 << 28, NULL,
      L(stream_buffer),
-     "Bytes that wait for a slow caller, in the router and as much again in "
-     "the kernel, before its upstream is held back.",
+     "Bytes buffered for a slow caller in the router, and the same amount in "
+     "the kernel, before the router pauses reading from the upstream.",
      KEY_LIVE},
     {"event_max", KEY_SIZE, FALSE, "1MiB", 1024, 1 << 28, NULL, L(event_max),
-     "Largest event of a stream, or piece of the wire that carries events; a "
-     "larger one ends the attempt. An event holds one token, some hundred "
-     "bytes; the default is what parsers of such streams commonly take.",
+     "Largest event of a stream, or largest frame that carries events; a "
+     "larger "
+     "one ends the attempt. An event holds one token, some hundred bytes; the "
+     "default is a limit that parsers of such streams commonly have.",
      KEY_LIVE},
     {"answer_max", KEY_SIZE, FALSE, "16MiB", 1024, 1 << 28, NULL,
      L(answer_max),
-     "Largest answer of a plain service; a larger one ends the attempt, as it "
-     "is kept whole before the caller gets it.",
+     "Largest answer of a plain service; a larger one ends the attempt, as "
+     "the "
+     "router buffers the complete answer before it sends it to the caller.",
      KEY_LIVE},
     {"resume_grace", KEY_DURATION, FALSE, "3s", 0, HOUR_MS, NULL,
      L(resume_grace_ms),
-     "How long a stream goes on after its caller left, so that the caller "
-     "may resume it at any router.",
+     "How long a stream continues after its caller left, so that the caller "
+     "can resume it at any router.",
      KEY_LIVE},
     {"idle_connections", KEY_INTEGER, FALSE, "32", 0, 4096, NULL,
-     L(idle_connections), "Open idle connections kept for each upstream.",
-     KEY_LIVE},
+     L(idle_connections),
+     "Largest number of idle connections pooled for each upstream.", KEY_LIVE},
     {"idle_time", KEY_DURATION, FALSE, "4s", 0, HOUR_MS, NULL, L(idle_time_ms),
-     "Longest rest of a kept connection that takes a relayed request.",
+     "Longest idle time of a pooled connection that is reused for a relayed "
+     "request.",
      KEY_LIVE},
     {"once_idle_time", KEY_DURATION, FALSE, "300ms", 0, HOUR_MS, NULL,
      L(once_idle_time_ms),
-     "The same for a request that may run only once, as its upstream may "
-     "have closed the connection in the meantime.",
+     "Like idle_time, for a request that may run only once; shorter, as the "
+     "upstream may have closed the connection in the meantime.",
      KEY_LIVE},
     {"eject_failures", KEY_INTEGER, FALSE, "3", 1, 1000, NULL,
-     L(eject_failures), "Failures in a row that eject an upstream.", KEY_LIVE},
+     L(eject_failures), "Consecutive failures that eject an upstream.",
+     KEY_LIVE},
     {"eject_time", KEY_DURATION, FALSE, "2s", 10, HOUR_MS, NULL, L(eject_ms),
-     "How long an ejected upstream gets no work; doubled each time.",
+     "How long an ejected upstream gets no work; doubled for each further "
+     "ejection.",
      KEY_LIVE},
     {"log_budget", KEY_SIZE, FALSE, "64KiB", 0, 1 << 30, NULL, L(log_budget),
-     "Most bytes of log lines written in a second, over four seconds; a "
-     "quarter is kept for warnings and errors. 0 for no bound.",
+     "Bytes of log lines written per second, averaged over four seconds; a "
+     "quarter is reserved for warnings and errors. 0 for no limit.",
      KEY_LIVE},
     {"log_level", KEY_INTEGER, FALSE, "6", LOG_LEVEL_ERROR, LOG_LEVEL_DEBUG,
      NULL, L(log_level),
-     "Least severe lines that are written, as syslog counts: 3 errors, 4 "
-     "warnings, 6 what becomes of requests and beliefs, 7 where requests are "
-     "placed and why; --verbose is 7.",
+     "Least severe lines that are written, as a syslog level: 3 errors, 4 "
+     "warnings, 6 outcomes of requests and changes in what the router knows "
+     "of "
+     "upstreams and peers, 7 where requests are placed and why; --verbose is "
+     "7.",
      KEY_LIVE},
     {NULL},
 };
@@ -268,33 +289,33 @@
 typedef struct {
     SectionSpec_t spec;
     gsize offset;
-} Place_t;
+} SettingsSection_t;
 
-static const Place_t places[] = {
+static const SettingsSection_t settings_sections[] = {
     {{"router", router_keys, sizeof(RouterSection_t), "This router."},
      offsetof(Settings_t, router)},
     {{"keys", keys_keys, sizeof(KeysSection_t),
-      "Keys that all routers of a team share, as hex digits."},
+      "Keys as hex digits; the same on all routers that work together."},
      offsetof(Settings_t, keys)},
     {{"peers", peers_keys, sizeof(PeersSection_t), "The other routers."},
      offsetof(Settings_t, peers)},
     {{"platform", platform_keys, sizeof(PlatformSection_t),
-      "Where the platform's services are."},
+      "Protocol and addresses of the platform's services."},
      offsetof(Settings_t, platform)},
     {{"relay", relay_keys, sizeof(RelaySection_t),
-      "Relayed requests, where the platform's form has routes."},
+      "Relayed requests; used only if the platform's form has routes."},
      offsetof(Settings_t, relay)},
     {{"limits", limits_keys, sizeof(LimitsSection_t),
-      "Sizes, times and counts that bound one router."},
+      "Limits of one router: sizes, times and counts."},
      offsetof(Settings_t, limits)},
 };
 
-static const Place_t *
-find_place(const char *name)
+static const SettingsSection_t *
+find_section(const char *name)
 {
-    for (gsize i = 0; i < G_N_ELEMENTS(places); i++) {
-        if (strcmp(places[i].spec.name, name) == 0) {
-            return &places[i];
+    for (gsize i = 0; i < G_N_ELEMENTS(settings_sections); i++) {
+        if (strcmp(settings_sections[i].spec.name, name) == 0) {
+            return &settings_sections[i];
         }
     }
     return NULL;
@@ -303,15 +324,15 @@
 gboolean
 Settings_isSection(const char *name)
 {
-    return find_place(name) != NULL;
+    return find_section(name) != NULL;
 }
 
 static void
-refuse_unknown_sections(const IniFile_t *ini, GPtrArray *problems)
+reject_unknown_sections(const IniFile_t *ini, GPtrArray *problems)
 {
     g_auto(GStrv) names = IniFile_sections(ini);
     for (guint i = 0; names[i]; i++) {
-        if (!find_place(names[i])) {
+        if (!find_section(names[i])) {
             Problems_add(problems, PROBLEM_UNKNOWN_SECTION, IniFile_path(ini),
                          IniFile_line(ini, names[i], NULL), names[i], NULL,
                          NULL);
@@ -329,31 +350,31 @@
     }
     Problems_add(problems, PROBLEM_BAD_VALUE, IniFile_path(ini),
                  IniFile_line(ini, "router", "hall_regions"), "router",
-                 "hall_regions", "expected as many names as in halls");
+                 "hall_regions", "must have as many names as halls");
 }
 
 Settings_t *
 Settings_create(const char *path, GPtrArray *problems)
 {
-    guint before = problems->len;
+    guint problems_before = problems->len;
     IniFile_t *ini = IniFile_create(path, problems);
     if (!ini) {
         return NULL;
     }
     Settings_t *this = g_new0(Settings_t, 1);
     this->path = g_string_new(path);
-    refuse_unknown_sections(ini, problems);
-    for (gsize i = 0; i < G_N_ELEMENTS(places); i++) {
-        const SectionSpec_t *spec = &places[i].spec;
+    reject_unknown_sections(ini, problems);
+    for (gsize i = 0; i < G_N_ELEMENTS(settings_sections); i++) {
+        const SectionSpec_t *spec = &settings_sections[i].spec;
         GHashTable *fields = IniFile_fields(ini, spec->name);
         KeyPlace_t place = {ini, spec->name};
-        KeyTable_fill(spec, fields, place, (char *)this + places[i].offset,
-                      problems);
+        KeyTable_fill(spec, fields, place,
+                      (char *)this + settings_sections[i].offset, problems);
         g_hash_table_destroy(fields);
     }
     check_halls(this, ini, problems);
     IniFile_destroy(ini);
-    if (problems->len > before) {
+    if (problems->len > problems_before) {
         Settings_destroy(this);
         return NULL;
     }
@@ -361,24 +382,25 @@
 }
 
 gboolean
-Settings_reload(Settings_t *this, GPtrArray *problems, SettingWaits_t waits,
-                void *data)
+Settings_reload(Settings_t *this, GPtrArray *problems,
+                RestartSettingHandler_t on_restart_key, void *data)
 {
-    Settings_t *fresh = Settings_create(this->path->str, problems);
-    if (!fresh) {
+    Settings_t *updated = Settings_create(this->path->str, problems);
+    if (!updated) {
         return FALSE;
     }
-    for (gsize i = 0; i < G_N_ELEMENTS(places); i++) {
-        const SectionSpec_t *spec = &places[i].spec;
-        g_autoptr(GPtrArray) waiting = g_ptr_array_new();
-        KeyTable_takeLive(spec, (char *)this + places[i].offset,
-                          (char *)fresh + places[i].offset, waiting);
-        for (guint k = 0; k < waiting->len; k++) {
-            const KeySpec_t *key = g_ptr_array_index(waiting, k);
-            waits(spec->name, key->name, data);
+    for (gsize i = 0; i < G_N_ELEMENTS(settings_sections); i++) {
+        const SectionSpec_t *spec = &settings_sections[i].spec;
+        g_autoptr(GPtrArray) restart_keys = g_ptr_array_new();
+        KeyTable_applyLive(spec, (char *)this + settings_sections[i].offset,
+                           (char *)updated + settings_sections[i].offset,
+                           restart_keys);
+        for (guint k = 0; k < restart_keys->len; k++) {
+            const KeySpec_t *key = g_ptr_array_index(restart_keys, k);
+            on_restart_key(spec->name, key->name, data);
         }
     }
-    Settings_destroy(fresh);
+    Settings_destroy(updated);
     return TRUE;
 }
 
@@ -386,16 +408,17 @@
 Settings_destroy(Settings_t *this)
 {
     g_string_free(this->path, TRUE);
-    for (gsize i = 0; i < G_N_ELEMENTS(places); i++) {
-        KeyTable_clear(&places[i].spec, (char *)this + places[i].offset);
+    for (gsize i = 0; i < G_N_ELEMENTS(settings_sections); i++) {
+        KeyTable_clear(&settings_sections[i].spec,
+                       (char *)this + settings_sections[i].offset);
     }
     g_free(this);
 }
 
 void
-Settings_reference(GString *out)
+Settings_appendReference(GString *out)
 {
-    for (gsize i = 0; i < G_N_ELEMENTS(places); i++) {
-        KeyTable_reference(&places[i].spec, out);
+    for (gsize i = 0; i < G_N_ELEMENTS(settings_sections); i++) {
+        KeyTable_appendReference(&settings_sections[i].spec, out);
     }
 }
--- a/src/Settings.h
+++ b/src/Settings.h
@@ -3,9 +3,9 @@
 /**
  * DOC: Settings
  *
- * What one router process is told at its start, from an INI file: its
- * addresses and hall, its keys, where the platform is, and its limits.
- * Everything that operators change while it runs is declared instead
+ * The settings of one router process, read from an INI file at its start: its
+ * addresses and hall, its keys, the addresses of the platform, and its limits.
+ * What operators change for all routers at once is declared instead
  * (Declarations.h). Sizes are in bytes and durations in milliseconds.
  */
 #include <glib.h>
@@ -13,7 +13,7 @@
 #include "KeyTable.h"
 
 /**
- * enum PolicyName_t - the words of [router] policy, in their order
+ * enum PolicyName_t - values of [router] policy, in the order of its choices
  */
 typedef enum {
     POLICY_PREFIX,
@@ -23,7 +23,8 @@
 } PolicyName_t;
 
 /**
- * enum LimitsName_t - the words of [router] customer_limits, in their order
+ * enum LimitsName_t - values of [router] customer_limits, in the order of its
+ * choices
  */
 typedef enum {
     LIMITS_ASK,
@@ -31,7 +32,7 @@
 } LimitsName_t;
 
 /**
- * enum PlatformName_t - the words of [platform] form, in their order
+ * enum PlatformName_t - values of [platform] form, in the order of its choices
  */
 typedef enum {
     PLATFORM_NATIVE,
@@ -40,20 +41,20 @@
 
 /**
  * struct RouterSection_t - [router]
- * @name: unlike any other router's
- * @hall: that this router stands in
- * @region: of the hall
- * @halls: GString *, all that upstreams may stand in
- * @hall_regions: GString *, region of each of @halls
- * @listen: where callers connect
- * @ready_listen: where readiness is asked for besides; no host for none
- * @operator_listen: where operators connect
+ * @name: unique name of this router
+ * @hall: hall of this router
+ * @region: region of @hall
+ * @halls: list of GString, all halls that may have upstreams
+ * @hall_regions: list of GString, the region of each of @halls
+ * @listen: address for callers
+ * @ready_listen: additional address for readiness checks; empty host for none
+ * @operator_listen: address for operators
  * @policy: a PolicyName_t
  * @customer_limits: a LimitsName_t
- * @stop_grace_ms: how long requests are still taken after SIGTERM
- * @stop_limit_ms: how long open streams may go on after SIGTERM
+ * @stop_grace_ms: how long requests are still accepted after SIGTERM
+ * @stop_limit_ms: how long open streams may continue after SIGTERM
  * @bootstrap: path of declarations to start from, or NULL
- * @seed: of all random choices; 0 for one of the system
+ * @seed: seed of all random choices; 0 to get one from the system
  */
 typedef struct {
     GString *name;
@@ -74,9 +75,9 @@
 
 /**
  * struct KeysSection_t - [keys]
- * @seal: of resume tokens
- * @salt: of cache salts
- * @operator_hash: of the operators' key
+ * @seal: key that seals resume tokens
+ * @salt: key of the cache salts
+ * @operator_hash: BLAKE2b-256 hash of the operators' key
  */
 typedef struct {
     GBytes *seal;
@@ -86,10 +87,10 @@
 
 /**
  * struct PeersSection_t - [peers]
- * @listen: where other routers connect
- * @seeds: Address_t, where other routers may listen
- * @gossip_budget: in bytes a second
- * @mesh_routers: up to so many routers all are linked with all
+ * @listen: address for other routers
+ * @seeds: array of Address_t, addresses that other routers may listen on
+ * @gossip_budget: largest gossip traffic sent, in bytes per second
+ * @mesh_routers: largest number of routers that form a full mesh
  */
 typedef struct {
     Address_t listen;
@@ -101,19 +102,20 @@
 /**
  * struct PlatformSection_t - [platform]
  * @form: a PlatformName_t
- * @log: the append-only log
- * @instances: the list of instances of the native form
- * @log_timeout_ms: for an answer of the log
- * @log_poll_ms: how long the log may hold a read
- * @instances_poll_ms: time between two reads of the list of instances
- * @command_timeout_ms: for an operator's command
+ * @log: address of the append-only log
+ * @instances: address of the list of instances of the native form
+ * @log_timeout_ms: timeout of the log's answers
+ * @log_poll_ms: how long the log may hold a read that has no new records
+ * @instances_poll_ms: interval between reads of the list of instances
+ * @command_timeout_ms: timeout of an operator's command
  * @snapshot_records: records of the configuration between two snapshots
- * @claim_horizon_ms: oldest age of an Idempotency-Key
+ * @claim_horizon_ms: largest age of an Idempotency-Key
  * @lease_ms: how long the right to give orders lasts without a renewal
- * @order_timeout_ms: for an engine's answer to an order
- * @weight_loads: engines of a region that load weights at once, at the least
- * @load_percent: share of the engines that may load at once, where it is more
- * @fencing: all engines refuse an order with an old fencing number
+ * @order_timeout_ms: timeout of an engine's answer to an order
+ * @weight_loads: engines of a region that may load weights at the same time
+ * @load_percent: the same as a percentage of the engines; the larger of both
+ *     limits applies
+ * @fencing: whether all engines refuse an order with an old fencing number
  */
 typedef struct {
     gint64 form;
@@ -134,22 +136,22 @@
 
 /**
  * struct RelaySection_t - [relay], for platforms with routes
- * @config_max_age_ms: requests with a key are refused once it is longer ago
- *     that the configuration was known to be the newest
+ * @config_max_age_ms: time since the configuration was last confirmed to be
+ *     the newest, after which requests with a key are refused
  * @reader_wait_ms: how long the store may hold a read of the configuration by
- *     a router that asks for the others
- * @config_wait_ms: so long after the last news from peers another router
- *     asks for itself
- * @leaving_limit_ms: how soon after the list says that an upstream leaves it
- *     must get no new work
- * @listing_return_ms: how long after an outage of the list an entry that has
- *     lapsed may take to come back
- * @weights_limit_ms: how long after a version was named a request may still
- *     begin on an older one
- * @move_wait_ms: how long the engine that a stream is moved to may take to its
- *     first event
- * @refuse_late: a request is refused where its answer is expected to begin
- *     later than its route aims at
+ *     a router that reads on behalf of the others
+ * @config_wait_ms: time without updates from peers after which a router that
+ *     does not normally read the configuration reads it from the store
+ * @leaving_limit_ms: time after the list says that an upstream is leaving, by
+ *     which the upstream must get no new work
+ * @listing_return_ms: how long an entry that lapsed during an outage of the
+ *     list may take to be listed again after the outage
+ * @weights_limit_ms: how long after a version of weights was announced a
+ *     request may still begin on an older one
+ * @move_wait_ms: how long the engine that a stream is moved to may take for
+ * its first event
+ * @refuse_late: whether to refuse a request whose answer is expected to begin
+ *     later than the objective of its route
  */
 typedef struct {
     gint64 config_max_age_ms;
@@ -164,27 +166,29 @@
 
 /**
  * struct LimitsSection_t - [limits]
- * @max_body: of a caller's request
- * @max_header: of a caller's request
- * @read_timeout_ms: how long a caller may pause while it sends or is sent to
- * @connect_timeout_ms: for a connection to an upstream
- * @first_token_timeout_ms: for an upstream's first token or answer
- * @token_timeout_ms: for each further token
- * @default_deadline_ms: of a request that names none
- * @max_attempts: of one request
+ * @max_body: largest body of a caller's request
+ * @max_header: largest header of a caller's request or an upstream's answer
+ * @read_timeout_ms: how long a caller may pause while it sends or receives
+ * @connect_timeout_ms: timeout of a connection to an upstream
+ * @first_token_timeout_ms: timeout of an upstream's first token or answer
+ * @token_timeout_ms: timeout of each further token
+ * @default_deadline_ms: deadline of a request that names none
+ * @max_attempts: largest number of attempts of one request
  * @retry_percent: retries for each 100 requests for a target
- * @retry_allowance: retries beyond that, of all routers together
+ * @retry_allowance: further retries at a target, by all routers together
  * @backoff_ms: mean wait before the first retry; doubled for each further one
- * @stream_buffer: that waits for a slow caller before its upstream is held
- * @event_max: of one event of a stream, in bytes
- * @answer_max: of one answer of a plain service, in bytes
- * @resume_grace_ms: how long a stream goes on after its caller left
- * @idle_connections: kept for each upstream
- * @idle_time_ms: longest rest of a connection that takes a relayed request
+ * @stream_buffer: bytes buffered for a slow caller before the router pauses
+ *     reading from the upstream
+ * @event_max: largest event of a stream, in bytes
+ * @answer_max: largest answer of a plain service, in bytes
+ * @resume_grace_ms: how long a stream continues after its caller left
+ * @idle_connections: idle connections pooled for each upstream
+ * @idle_time_ms: longest idle time of a connection that is reused for a
+ *     relayed request
  * @once_idle_time_ms: the same for a request that may run only once
- * @eject_failures: in a row
+ * @eject_failures: consecutive failures that eject an upstream
  * @eject_ms: length of the first ejection
- * @log_budget: bytes of log lines a second, 0 for no bound
+ * @log_budget: bytes of log lines per second, 0 for no limit
  * @log_level: least severe LogLevel_t that is written
  */
 typedef struct {
@@ -214,13 +218,13 @@
 
 /**
  * struct Settings_t - all sections
- * @path: of the file that they were read from
- * @router: see RouterSection_t, and so on
+ * @path: path of the settings file, for Settings_reload()
+ * @router: identity, addresses and policies of this router
  * @keys: secrets
  * @peers: the other routers
- * @platform: where it is and how it is spoken to
- * @relay: of relayed requests
- * @limits: of one router
+ * @platform: addresses and protocol of the platform
+ * @relay: handling of relayed requests
+ * @limits: limits of this router
  */
 typedef struct {
     GString *path;
@@ -233,42 +237,43 @@
 } Settings_t;
 
 /**
- * Settings_create() - read and check a settings file
- * @path: the file
- * @problems: gets every fault
+ * Settings_create() - read and validate a settings file
+ * @problems: receives every fault
  *
- * Return: the settings, or NULL where there is any fault
+ * Return: the settings, or NULL if there is any fault
  */
 Settings_t *Settings_create(const char *path, GPtrArray *problems);
 
-/** SettingWaits_t - called for each key that waits for a restart */
-typedef void (*SettingWaits_t)(const char *section, const char *key,
-                               void *data);
+/** RestartSettingHandler_t - called for each key whose new value takes effect
+ * only after a restart */
+typedef void (*RestartSettingHandler_t)(const char *section, const char *key,
+                                        void *data);
 
 /**
- * Settings_reload() - read the file again and take the keys that may change
+ * Settings_reload() - read the file again and apply the keys that may change
  * while the router runs
- * @problems: gets every fault; where there is any, nothing is taken
- * @waits: called for each other key whose value differs
+ * @problems: receives every fault; if there is any, nothing is applied
+ * @on_restart_key: called for each other key whose value differs
+ * @data: passed to @on_restart_key
  *
- * Return: FALSE where there is a fault
+ * Return: FALSE if there is a fault
  */
 gboolean Settings_reload(Settings_t *this, GPtrArray *problems,
-                         SettingWaits_t waits, void *data);
+                         RestartSettingHandler_t on_restart_key, void *data);
 
 /**
- * Settings_destroy() - free them
+ * Settings_destroy() - free the settings
  */
 void Settings_destroy(Settings_t *this);
 
 /**
- * Settings_isSection() - whether a section belongs into a settings file
+ * Settings_isSection() - whether a section name is one of a settings file
  */
 gboolean Settings_isSection(const char *name);
 
 /**
- * Settings_reference() - append the reference of all keys in Markdown
+ * Settings_appendReference() - append a Markdown reference of all keys
  */
-void Settings_reference(GString *out);
+void Settings_appendReference(GString *out);
 
 #endif
--- a/src/SettingsReload.c
+++ b/src/SettingsReload.c
@@ -4,7 +4,7 @@
 #include "Problem.h"
 
 static void
-on_waiting_setting(const char *section, const char *key, void *data)
+log_restart_setting(const char *section, const char *key, void *data)
 {
     guint *count = data;
     (*count)++;
@@ -15,9 +15,9 @@
     Log_end();
 }
 
-/* Without the value, which may be that of a key. */
+/* Leaves out the values, as they may be secrets such as those of [keys]. */
 static void
-log_faults(const GPtrArray *problems)
+log_problems(const GPtrArray *problems)
 {
     for (guint i = 0; i < problems->len; i++) {
         const Problem_t *problem = g_ptr_array_index(problems, i);
@@ -34,14 +34,15 @@
 SettingsReload_run(Settings_t *settings)
 {
     g_autoptr(GPtrArray) problems = Problems_create();
-    guint waiting = 0;
-    gboolean good =
-        Settings_reload(settings, problems, on_waiting_setting, &waiting);
-    log_faults(problems);
-    Log_begin(good ? LOG_LEVEL_INFO : LOG_LEVEL_WARNING, "settings_reloaded");
-    Log_text("outcome", good ? "taken" : "refused");
+    guint restart_keys = 0;
+    gboolean applied = Settings_reload(settings, problems, log_restart_setting,
+                                       &restart_keys);
+    log_problems(problems);
+    Log_begin(applied ? LOG_LEVEL_INFO : LOG_LEVEL_WARNING,
+              "settings_reloaded");
+    Log_text("outcome", applied ? "taken" : "refused");
     Log_number("problems", problems->len);
-    Log_number("waiting", waiting);
+    Log_number("waiting", restart_keys);
     Log_end();
-    return good;
+    return applied;
 }
--- a/src/SettingsReload.h
+++ b/src/SettingsReload.h
@@ -3,15 +3,16 @@
 /**
  * DOC: SettingsReload
  *
- * Reads the settings of a running router again and logs what came of it:
- * keys that wait for a restart, and the faults of a file that is refused.
+ * Reloads the settings of a running router and logs the result: changed keys
+ * that take effect only after a restart, and the faults of a file that is
+ * rejected.
  */
 #include "Settings.h"
 
 /**
- * SettingsReload_run() - read the file again
+ * SettingsReload_run() - read the settings file again and log the result
  *
- * Return: whether it was taken; else nothing has changed
+ * Return: whether the file was applied; if not, the settings are unchanged
  */
 gboolean SettingsReload_run(Settings_t *settings);
 
--- a/tests/fuzz/texts.c
+++ b/tests/fuzz/texts.c
@@ -89,7 +89,7 @@
     GPtrArray *objects = Declarations_load(paths, problems);
     for (guint i = 0; i < objects->len; i++) {
         const Object_t *object = g_ptr_array_index(objects, i);
-        g_assert(KeyTable_nameIsGood(object->name->str));
+        g_assert(KeyTable_isValidName(object->name->str));
     }
     g_assert(problems->len > 0 || size == 0 || !memchr(data, '\0', size));
     format_all(problems);
--- a/tests/test_ConfigStore.c
+++ b/tests/test_ConfigStore.c
@@ -14,7 +14,8 @@
 }
 
 static GBytes *
-record(const char *id, const char *name, guint64 base, const char *weights)
+pack_record(const char *id, const char *name, guint64 base,
+            const char *weights)
 {
     Wt__Field field = WT__FIELD__INIT;
     Wt__Field *fields[] = {&field};
@@ -43,11 +44,11 @@
 fold(ConfigStore_t *store, guint64 offset, const char *id, const char *name,
      guint64 base, const char *weights)
 {
-    GBytes *bytes = record(id, name, base, weights);
+    GBytes *bytes = pack_record(id, name, base, weights);
     ConfigStore_fold(store, offset, bytes);
     g_bytes_unref(bytes);
     GBytes *key = g_bytes_new(id, strlen(id));
-    const ConfigOutcome_t *outcome = ConfigStore_outcome(store, key);
+    const ConfigOutcome_t *outcome = ConfigStore_findOutcome(store, key);
     g_bytes_unref(key);
     return outcome && outcome->taken;
 }
@@ -59,7 +60,7 @@
     return object ? ((const Model_t *)object->spec)->weights->str : NULL;
 }
 
-START_TEST(of_two_changes_on_one_base_the_first_wins)
+START_TEST(first_of_two_changes_with_same_base_wins)
 {
     ConfigStore_t *store = ConfigStore_create(on_changed, NULL);
     changes = 0;
@@ -73,7 +74,7 @@
 }
 END_TEST
 
-START_TEST(record_that_was_appended_twice_counts_once)
+START_TEST(record_appended_twice_is_applied_once)
 {
     ConfigStore_t *store = ConfigStore_create(NULL, NULL);
     ck_assert(fold(store, 0, "once", "m", 0, "v1"));
@@ -84,7 +85,7 @@
 }
 END_TEST
 
-START_TEST(older_offsets_never_revert)
+START_TEST(record_with_older_offset_is_ignored)
 {
     ConfigStore_t *store = ConfigStore_create(NULL, NULL);
     fold(store, 5, "a", "m", 0, "v1");
@@ -132,22 +133,22 @@
 }
 END_TEST
 
-START_TEST(outcomes_kept_are_bounded)
+START_TEST(stored_outcomes_are_bounded)
 {
     ConfigStore_t *store = ConfigStore_create(NULL, NULL);
-    for (guint i = 0; i < CONFIG_OUTCOMES_KEPT + 10; i++) {
+    for (guint i = 0; i < CONFIG_OUTCOMES_MAX + 10; i++) {
         g_autofree char *id = g_strdup_printf("id-%u", i);
         fold(store, i, id, "m", i, "v1");
     }
     GBytes *oldest = g_bytes_new_static("id-0", 4);
-    ck_assert_ptr_null(ConfigStore_outcome(store, oldest));
+    ck_assert_ptr_null(ConfigStore_findOutcome(store, oldest));
     g_bytes_unref(oldest);
     ConfigStore_destroy(store);
 }
 END_TEST
 
-TESTING_MAIN("ConfigStore", of_two_changes_on_one_base_the_first_wins,
-             record_that_was_appended_twice_counts_once,
-             older_offsets_never_revert,
+TESTING_MAIN("ConfigStore", first_of_two_changes_with_same_base_wins,
+             record_appended_twice_is_applied_once,
+             record_with_older_offset_is_ignored,
              unreadable_or_invalid_records_change_nothing,
-             equal_folds_have_equal_digests, outcomes_kept_are_bounded)
+             equal_folds_have_equal_digests, stored_outcomes_are_bounded)
--- a/tests/test_Plan.c
+++ b/tests/test_Plan.c
@@ -6,7 +6,7 @@
 #include "Problem.h"
 
 static GPtrArray *
-declare(const char *name, const char *weights)
+create_declarations(const char *name, const char *weights)
 {
     GPtrArray *list =
         g_ptr_array_new_with_free_func((GDestroyNotify)Object_destroy);
@@ -27,7 +27,7 @@
 static Wt__DeclaredObject *objects[] = {&object};
 
 static Wt__GetResponse
-in_force(const char *name, const char *weights, guint64 revision)
+create_response(const char *name, const char *weights, guint64 revision)
 {
     Wt__GetResponse response = WT__GET_RESPONSE__INIT;
     field.key = (char *)"weights";
@@ -52,36 +52,36 @@
     ck_assert_uint_eq(step->base_revision, base);
 }
 
-START_TEST(what_is_the_same_is_left_alone)
+START_TEST(unchanged_object_yields_no_step)
 {
-    g_autoptr(GPtrArray) declared = declare("m", "v1");
-    Wt__GetResponse response = in_force("m", "v1", 7);
+    g_autoptr(GPtrArray) declared = create_declarations("m", "v1");
+    Wt__GetResponse response = create_response("m", "v1", 7);
     g_autoptr(GPtrArray) steps = Plan_create(declared, &response, TRUE);
     ck_assert_uint_eq(steps->len, 0);
 }
 END_TEST
 
-START_TEST(changes_are_based_on_what_is_in_force)
+START_TEST(change_step_has_revision_in_force)
 {
-    g_autoptr(GPtrArray) declared = declare("m", "v2");
-    Wt__GetResponse response = in_force("m", "v1", 7);
+    g_autoptr(GPtrArray) declared = create_declarations("m", "v2");
+    Wt__GetResponse response = create_response("m", "v1", 7);
     g_autoptr(GPtrArray) steps = Plan_create(declared, &response, TRUE);
     ck_assert_uint_eq(steps->len, 1);
     assert_step(steps, 0, PLAN_CHANGE, "m", 7);
 }
 END_TEST
 
-START_TEST(only_prune_removes)
+START_TEST(objects_are_removed_only_with_prune)
 {
-    g_autoptr(GPtrArray) declared = declare("n", "v1");
-    Wt__GetResponse response = in_force("m", "v1", 7);
-    g_autoptr(GPtrArray) kept = Plan_create(declared, &response, FALSE);
-    ck_assert_uint_eq(kept->len, 1);
-    assert_step(kept, 0, PLAN_ADD, "n", 0);
+    g_autoptr(GPtrArray) declared = create_declarations("n", "v1");
+    Wt__GetResponse response = create_response("m", "v1", 7);
+    g_autoptr(GPtrArray) unpruned = Plan_create(declared, &response, FALSE);
+    ck_assert_uint_eq(unpruned->len, 1);
+    assert_step(unpruned, 0, PLAN_ADD, "n", 0);
     g_autoptr(GPtrArray) pruned = Plan_create(declared, &response, TRUE);
     ck_assert_uint_eq(pruned->len, 2);
     assert_step(pruned, 1, PLAN_REMOVE, "m", 7);
-    Wt__ApplyRequest *request = Plan_request(pruned, 0, pruned->len);
+    Wt__ApplyRequest *request = Plan_createRequest(pruned, 0, pruned->len);
     ck_assert_uint_eq(request->n_changes, 2);
     ck_assert(request->changes[1]->remove);
     ck_assert_uint_eq(request->command_id.len, 16);
@@ -89,5 +89,6 @@
 }
 END_TEST
 
-TESTING_MAIN("Plan", what_is_the_same_is_left_alone,
-             changes_are_based_on_what_is_in_force, only_prune_removes)
+TESTING_MAIN("Plan", unchanged_object_yields_no_step,
+             change_step_has_revision_in_force,
+             objects_are_removed_only_with_prune)
--- a/tests/test_Settings.c
+++ b/tests/test_Settings.c
@@ -9,8 +9,8 @@
 #include "Settings.h"
 
 #define KEY "1111111111111111111111111111111111111111111111111111111111111111"
-#define GOOD "[router]\n" GOOD_REST
-#define GOOD_REST                                                             \
+#define VALID "[router]\n" VALID_REST
+#define VALID_REST                                                            \
     "name = r1\nhall = h\nregion = r\nlisten = 127.0.0.1:80\n"                \
     "operator_listen = 127.0.0.1:81\n[keys]\nseal = " KEY "\nsalt = " KEY     \
     "\noperator_hash = " KEY "\n[platform]\nlog = 127.0.0.1:82\n"             \
@@ -28,7 +28,7 @@
 }
 
 static GPtrArray *
-problems_of(const char *text)
+find_problems(const char *text)
 {
     GPtrArray *problems = Problems_create();
     char *path = write_file(text);
@@ -46,7 +46,7 @@
 assert_problem(const char *text, ProblemKind_t kind, guint line,
                const char *section, const char *key)
 {
-    g_autoptr(GPtrArray) problems = problems_of(text);
+    g_autoptr(GPtrArray) problems = find_problems(text);
     ck_assert_uint_eq(problems->len, 1);
     const Problem_t *problem = g_ptr_array_index(problems, 0);
     ck_assert_str_eq(Problem_kindName(problem->kind), Problem_kindName(kind));
@@ -57,15 +57,15 @@
 
 START_TEST(each_hall_needs_a_region)
 {
-    assert_problem("[router]\nhalls = a,b\nhall_regions = r\n" GOOD_REST,
+    assert_problem("[router]\nhalls = a,b\nhall_regions = r\n" VALID_REST,
                    PROBLEM_BAD_VALUE, 3, "router", "hall_regions");
 }
 END_TEST
 
-START_TEST(good_settings_have_values_and_defaults)
+START_TEST(valid_settings_have_values_and_defaults)
 {
     g_autoptr(GPtrArray) problems = Problems_create();
-    char *path = write_file(GOOD "[limits]\nbackoff = 2s\nmax_body = 8KiB\n");
+    char *path = write_file(VALID "[limits]\nbackoff = 2s\nmax_body = 8KiB\n");
     Settings_t *settings = Settings_create(path, problems);
     ck_assert_ptr_nonnull(settings);
     ck_assert_str_eq(settings->router.name->str, "r1");
@@ -80,45 +80,43 @@
 }
 END_TEST
 
-START_TEST(each_fault_has_its_type_and_place)
+START_TEST(each_fault_has_its_kind_and_line)
 {
-    assert_problem(GOOD "[limits]\nfoo = 1\n", PROBLEM_UNKNOWN_KEY, 17,
+    assert_problem(VALID "[limits]\nfoo = 1\n", PROBLEM_UNKNOWN_KEY, 17,
                    "limits", "foo");
-    assert_problem(GOOD "[limits]\nbackoff = soon\n", PROBLEM_BAD_VALUE, 17,
+    assert_problem(VALID "[limits]\nbackoff = soon\n", PROBLEM_BAD_VALUE, 17,
                    "limits", "backoff");
-    assert_problem(GOOD "[limits]\nbackoff = 5 parsecs\n", PROBLEM_BAD_UNIT,
+    assert_problem(VALID "[limits]\nbackoff = 5 parsecs\n", PROBLEM_BAD_UNIT,
                    17, "limits", "backoff");
-    assert_problem(GOOD "[limits]\nmax_body = 1B\n", PROBLEM_OUT_OF_RANGE, 17,
+    assert_problem(VALID "[limits]\nmax_body = 1B\n", PROBLEM_OUT_OF_RANGE, 17,
                    "limits", "max_body");
-    assert_problem(GOOD "[limits]\nbackoff = 1s\nbackoff = 2s\n",
+    assert_problem(VALID "[limits]\nbackoff = 1s\nbackoff = 2s\n",
                    PROBLEM_DUPLICATE_KEY, 18, "limits", "backoff");
-    assert_problem(GOOD "[limits]\nbackoff = 1s\n[limits]\n",
+    assert_problem(VALID "[limits]\nbackoff = 1s\n[limits]\n",
                    PROBLEM_DUPLICATE_SECTION, 18, "limits", "");
-    assert_problem(GOOD "[nonsense]\n", PROBLEM_UNKNOWN_SECTION, 16,
+    assert_problem(VALID "[nonsense]\n", PROBLEM_UNKNOWN_SECTION, 16,
                    "nonsense", "");
-    assert_problem(GOOD "[limits]\nnonsense\n", PROBLEM_SYNTAX, 17, "limits",
+    assert_problem(VALID "[limits]\nnonsense\n", PROBLEM_SYNTAX, 17, "limits",
                    "");
 }
 END_TEST
 
 /*
- * Symptom: no router of a team started; each said bad_unit of one key.
- * Sequence: a template was filled with a share of a total that is no whole
- * number, 33.1578947368421, or with a figure that was not given, which leaves
- * the unit alone.
- * Cause: numbers were read as whole ones only, and what was left empty as a
- * value.
- * Settled by: a fraction of the smallest unit is left out, and a number that
- * is not given is the key's default; what is nonsense is refused as before.
+ * Regression test: no router started, as each reported bad_unit for one key.
+ * A settings template had been filled with a fraction, 33.1578947368421, or
+ * without a number, which leaves only the unit. Only integers were accepted
+ * then, and an empty value was not treated as absent. Fractions of the
+ * smallest unit are now truncated, and an optional number that is not given
+ * has its default; other invalid values are still rejected.
  */
 typedef struct {
     const char *value;
-    gboolean good;
+    gboolean valid;
     ProblemKind_t fault;
     gint64 number;
 } NumberCase_t;
 
-/* Of an integer from 0 to 100000 whose default is 10. */
+/* Values of an integer key from 0 to 100000 whose default is 10. */
 static const NumberCase_t integer_cases[] = {
     {"33.1578947368421", TRUE, 0, 33},
     {"0.4", TRUE, 0, 0},
@@ -144,7 +142,7 @@
     {"5ms", FALSE, PROBLEM_BAD_UNIT, 0},
 };
 
-/* Of a duration from 0 to an hour whose default is 20 ms. */
+/* Values of a duration key from 0 to one hour whose default is 20 ms. */
 static const NumberCase_t duration_cases[] = {
     {"1.5s", TRUE, 0, 1500},
     {"2999.9ms", TRUE, 0, 2999},
@@ -165,8 +163,8 @@
 check_number(const char *key, const NumberCase_t *number, gsize offset)
 {
     g_autofree char *text =
-        g_strdup_printf(GOOD "[limits]\n%s = %s\n", key, number->value);
-    if (!number->good) {
+        g_strdup_printf(VALID "[limits]\n%s = %s\n", key, number->value);
+    if (!number->valid) {
         assert_problem(text, number->fault, 17, "limits", key);
         return;
     }
@@ -181,7 +179,7 @@
     g_free(path);
 }
 
-START_TEST(numbers_may_have_fractions_and_may_be_left_out)
+START_TEST(fractional_and_empty_numbers_are_accepted)
 {
     for (gsize i = 0; i < G_N_ELEMENTS(integer_cases); i++) {
         check_number("retry_allowance", &integer_cases[i],
@@ -194,10 +192,10 @@
 }
 END_TEST
 
-START_TEST(a_fault_of_a_number_names_key_value_and_range)
+START_TEST(number_fault_reports_key_value_and_range)
 {
     g_autoptr(GPtrArray) problems =
-        problems_of(GOOD "[limits]\nretry_allowance = 100001\n");
+        find_problems(VALID "[limits]\nretry_allowance = 100001\n");
     GString *text = Problem_format(g_ptr_array_index(problems, 0));
     ck_assert_ptr_nonnull(strstr(text->str, "retry_allowance"));
     ck_assert_ptr_nonnull(strstr(text->str, "100001"));
@@ -206,13 +204,13 @@
 }
 END_TEST
 
-START_TEST(missing_key_and_bad_address_are_told)
+START_TEST(missing_key_and_bad_address_are_reported)
 {
-    GString *text = g_string_new(GOOD);
+    GString *text = g_string_new(VALID);
     g_string_erase(text, (gssize)(strstr(text->str, "name") - text->str),
                    (gssize)strlen("name = r1\n"));
     assert_problem(text->str, PROBLEM_MISSING_KEY, 1, "router", "name");
-    g_string_assign(text, GOOD);
+    g_string_assign(text, VALID);
     char *port = strstr(text->str, "127.0.0.1:80");
     memcpy(port, "127.0.0.x:80", strlen("127.0.0.x:80"));
     assert_problem(text->str, PROBLEM_BAD_VALUE, 5, "router", "listen");
@@ -220,15 +218,15 @@
 }
 END_TEST
 
-START_TEST(all_faults_are_told_at_once)
+START_TEST(all_faults_are_reported_at_once)
 {
     g_autoptr(GPtrArray) problems =
-        problems_of(GOOD "[limits]\nfoo = 1\nbackoff = x\n[bar]\n");
+        find_problems(VALID "[limits]\nfoo = 1\nbackoff = x\n[bar]\n");
     ck_assert_uint_eq(problems->len, 3);
 }
 END_TEST
 
-START_TEST(unreadable_file_is_told)
+START_TEST(unreadable_file_is_reported)
 {
     g_autoptr(GPtrArray) problems = Problems_create();
     ck_assert_ptr_null(Settings_create("/nonexistent/x.ini", problems));
@@ -239,7 +237,7 @@
 END_TEST
 
 static GPtrArray *
-load(const char *text, GPtrArray *problems)
+load_declarations(const char *text, GPtrArray *problems)
 {
     char *path = write_file(text);
     char *paths[] = {path, NULL};
@@ -249,13 +247,13 @@
     return objects;
 }
 
-START_TEST(declarations_come_in_the_order_of_their_kinds)
+START_TEST(declarations_are_sorted_by_kind)
 {
     g_autoptr(GPtrArray) problems = Problems_create();
-    g_autoptr(GPtrArray) objects =
-        load("[upstream u]\naddress = 127.0.0.1:1\nhall = h\nregion = r\n"
-             "serves = m\n[model m]\nweights = v1\n; a comment\n",
-             problems);
+    g_autoptr(GPtrArray) objects = load_declarations(
+        "[upstream u]\naddress = 127.0.0.1:1\nhall = h\nregion = r\n"
+        "serves = m\n[model m]\nweights = v1\n; a comment\n",
+        problems);
     ck_assert_uint_eq(problems->len, 0);
     ck_assert_uint_eq(objects->len, 2);
     const Object_t *first = g_ptr_array_index(objects, 0);
@@ -263,11 +261,11 @@
 }
 END_TEST
 
-START_TEST(declarations_that_point_to_nothing_are_told)
+START_TEST(dangling_references_are_reported)
 {
     g_autoptr(GPtrArray) problems = Problems_create();
     g_autoptr(GPtrArray) objects =
-        load("[adapter a]\nmodel = m\nweights = v1\n", problems);
+        load_declarations("[adapter a]\nmodel = m\nweights = v1\n", problems);
     ck_assert_uint_eq(problems->len, 1);
     const Problem_t *problem = g_ptr_array_index(problems, 0);
     ck_assert_int_eq((int)problem->kind, PROBLEM_BAD_REFERENCE);
@@ -275,13 +273,13 @@
 }
 END_TEST
 
-START_TEST(declarations_with_bad_heads_and_times_are_told)
+START_TEST(bad_section_names_and_times_are_reported)
 {
     g_autoptr(GPtrArray) problems = Problems_create();
-    g_autoptr(GPtrArray) objects =
-        load("[model]\nweights = v1\n[gadget g]\n[model b@d]\nweights = v1\n"
-             "[stop-plan p]\nupstream = u\nby = tomorrow\n",
-             problems);
+    g_autoptr(GPtrArray) objects = load_declarations(
+        "[model]\nweights = v1\n[gadget g]\n[model b@d]\nweights = v1\n"
+        "[stop-plan p]\nupstream = u\nby = tomorrow\n",
+        problems);
     ck_assert_uint_eq(objects->len, 0);
     ck_assert_uint_eq(problems->len, 4);
 }
@@ -290,8 +288,8 @@
 START_TEST(reference_names_every_section)
 {
     GString *text = g_string_new(NULL);
-    Settings_reference(text);
-    Declarations_reference(text);
+    Settings_appendReference(text);
+    Declarations_appendReference(text);
     ck_assert_ptr_nonnull(strstr(text->str, "## [limits]"));
     ck_assert_ptr_nonnull(strstr(text->str, "| `weights` | name |"));
     g_string_free(text, TRUE);
@@ -299,30 +297,30 @@
 END_TEST
 
 static void
-note_waiting(const char *section, const char *key, void *data)
+append_restart_key(const char *section, const char *key, void *data)
 {
     g_string_append_printf(data, "%s.%s;", section, key);
 }
 
-/* Reads first one text, then the other from the same file. */
+/* Creates settings from one text and reloads them from another. */
 static Settings_t *
-read_again(const char *first, const char *second, gboolean good,
-           GString *waiting)
+reload_settings(const char *first, const char *second, gboolean valid,
+                GString *restart_keys)
 {
     g_autoptr(GPtrArray) problems = Problems_create();
     char *path = write_file(first);
     Settings_t *settings = Settings_create(path, problems);
     ck_assert_ptr_nonnull(settings);
     ck_assert(g_file_set_contents(path, second, -1, NULL));
-    ck_assert(Settings_reload(settings, problems, note_waiting, waiting) ==
-              good);
-    ck_assert_int_eq(problems->len == 0, good);
+    ck_assert(Settings_reload(settings, problems, append_restart_key,
+                              restart_keys) == valid);
+    ck_assert_int_eq(problems->len == 0, valid);
     g_unlink(path);
     g_free(path);
     return settings;
 }
 
-#define OTHER                                                                 \
+#define CHANGED                                                               \
     "[router]\nname = r2\nhall = h\nregion = r\nlisten = 127.0.0.1:90\n"      \
     "operator_listen = 127.0.0.1:81\nstop_grace = 7s\nbootstrap = x\n"        \
     "[keys]\nseal = " KEY "\nsalt = " KEY "\noperator_hash = "                \
@@ -331,13 +329,13 @@
     "weight_loads = 9\ninstances = 127.0.0.1:83\n[peers]\n"                   \
     "listen = 127.0.0.1:84\nseeds = 127.0.0.1:85\n[limits]\nbackoff = 5s\n"
 
-START_TEST(a_reload_takes_what_may_change_and_names_the_rest)
+START_TEST(reload_applies_live_keys_and_reports_the_others)
 {
-    GString *waiting = g_string_new(NULL);
-    Settings_t *settings = read_again(GOOD, OTHER, TRUE, waiting);
-    ck_assert_str_eq(waiting->str, "router.name;router.listen;"
-                                   "router.bootstrap;keys.operator_hash;"
-                                   "peers.seeds;platform.claim_horizon;");
+    GString *restart_keys = g_string_new(NULL);
+    Settings_t *settings = reload_settings(VALID, CHANGED, TRUE, restart_keys);
+    ck_assert_str_eq(restart_keys->str, "router.name;router.listen;"
+                                        "router.bootstrap;keys.operator_hash;"
+                                        "peers.seeds;platform.claim_horizon;");
     ck_assert_str_eq(settings->router.name->str, "r1");
     ck_assert_uint_eq(settings->router.listen.port, 80);
     ck_assert_int_eq(settings->platform.claim_horizon_ms, 30 * 60 * 1000);
@@ -345,37 +343,37 @@
     ck_assert_int_eq(settings->platform.weight_loads, 9);
     ck_assert_int_eq(settings->limits.backoff_ms, 5000);
     Settings_destroy(settings);
-    g_string_free(waiting, TRUE);
+    g_string_free(restart_keys, TRUE);
 }
 END_TEST
 
-START_TEST(a_reload_of_the_same_file_names_nothing)
+START_TEST(reload_of_same_file_reports_no_key)
 {
-    GString *waiting = g_string_new(NULL);
-    Settings_destroy(read_again(OTHER, OTHER, TRUE, waiting));
-    ck_assert_str_eq(waiting->str, "");
-    g_string_free(waiting, TRUE);
+    GString *restart_keys = g_string_new(NULL);
+    Settings_destroy(reload_settings(CHANGED, CHANGED, TRUE, restart_keys));
+    ck_assert_str_eq(restart_keys->str, "");
+    g_string_free(restart_keys, TRUE);
 }
 END_TEST
 
-START_TEST(a_reload_of_a_broken_file_changes_nothing)
+START_TEST(reload_of_invalid_file_changes_nothing)
 {
-    GString *waiting = g_string_new(NULL);
-    Settings_t *settings =
-        read_again(GOOD, OTHER "max_body = much\n", FALSE, waiting);
-    ck_assert_str_eq(waiting->str, "");
+    GString *restart_keys = g_string_new(NULL);
+    Settings_t *settings = reload_settings(VALID, CHANGED "max_body = much\n",
+                                           FALSE, restart_keys);
+    ck_assert_str_eq(restart_keys->str, "");
     ck_assert_int_eq(settings->limits.backoff_ms, 20);
     Settings_destroy(settings);
-    g_string_free(waiting, TRUE);
+    g_string_free(restart_keys, TRUE);
 }
 END_TEST
 
 /*
- * Symptom: a file without faults was in force in part. Sequence: a file that
- * had a NUL byte in its middle was applied. Cause: it was read as a text that
- * ends at its first NUL. Settled by: a NUL is told as a fault of its line.
+ * Regression test: of a file with a NUL byte, only the declarations before the
+ * NUL were applied and no fault was reported, as the file was read as a C
+ * string. A NUL byte is now a fault.
  */
-START_TEST(a_file_with_a_nul_is_told)
+START_TEST(file_with_nul_byte_is_reported)
 {
     static const char text[] = "[model m]\nweights = v1\n\0[model n]\n";
     g_autoptr(GPtrArray) problems = Problems_create();
@@ -393,17 +391,16 @@
 END_TEST
 
 TESTING_MAIN("Settings", each_hall_needs_a_region,
-             good_settings_have_values_and_defaults,
-             each_fault_has_its_type_and_place,
-             numbers_may_have_fractions_and_may_be_left_out,
-             a_fault_of_a_number_names_key_value_and_range,
-             missing_key_and_bad_address_are_told, all_faults_are_told_at_once,
-             unreadable_file_is_told,
-             declarations_come_in_the_order_of_their_kinds,
-             declarations_that_point_to_nothing_are_told,
-             declarations_with_bad_heads_and_times_are_told,
+             valid_settings_have_values_and_defaults,
+             each_fault_has_its_kind_and_line,
+             fractional_and_empty_numbers_are_accepted,
+             number_fault_reports_key_value_and_range,
+             missing_key_and_bad_address_are_reported,
+             all_faults_are_reported_at_once, unreadable_file_is_reported,
+             declarations_are_sorted_by_kind, dangling_references_are_reported,
+             bad_section_names_and_times_are_reported,
              reference_names_every_section,
-             a_reload_takes_what_may_change_and_names_the_rest,
-             a_reload_of_the_same_file_names_nothing,
-             a_reload_of_a_broken_file_changes_nothing,
-             a_file_with_a_nul_is_told)
+             reload_applies_live_keys_and_reports_the_others,
+             reload_of_same_file_reports_no_key,
+             reload_of_invalid_file_changes_nothing,
+             file_with_nul_byte_is_reported)
