--- a/bench/CrashReplay.c
+++ b/bench/CrashReplay.c
@@ -3,8 +3,8 @@
 #include <math.h>
 #include <string.h>
 
+#include "CompletedRequests.h"
 #include "CrashTable.h"
-#include "WholeAnswers.h"
 
 /* Requests that come once have numbers from here on. */
 #define FIRST_SINGLE 1000000
@@ -109,7 +109,7 @@
         .news_ms = 25,
         .poll_ms = 1000,
         .held_at = CRASHES_TO_QUARANTINE,
-        .remember_ms = WHOLE_ANSWERS_MS,
+        .remember_ms = COMPLETED_REQUESTS_RETAIN_MS,
     };
 }
 
--- a/src/Answer.c
+++ b/src/Answer.c
@@ -192,7 +192,7 @@
     start_stream(this);
     g_string_append(this->out, "data: [DONE]\n\n");
     flush_events(this);
-    struct evhttp_request *request = CallerWatch_end(this->watch);
+    struct evhttp_request *request = CallerWatch_detach(this->watch);
     PendingReply_watch(request);
     evhttp_send_reply_end(request);
 }
@@ -235,7 +235,7 @@
     evhttp_add_header(headers, "Content-Type", "application/json");
     evhttp_add_header(headers, "X-Request-Id", this->id->str);
     evbuffer_add(this->chunk, body->str, body->len);
-    struct evhttp_request *request = CallerWatch_end(this->watch);
+    struct evhttp_request *request = CallerWatch_detach(this->watch);
     PendingReply_watch(request);
     evhttp_send_reply(request, HTTP_OK, "OK", this->chunk);
 }
@@ -324,7 +324,7 @@
     g_string_append_printf(this->out, "event: error\ndata: %s\n\n", body->str);
     g_string_free(body, TRUE);
     evbuffer_add(this->chunk, this->out->str, this->out->len);
-    struct evhttp_request *request = CallerWatch_end(this->watch);
+    struct evhttp_request *request = CallerWatch_detach(this->watch);
     if (!evhttp_request_get_connection(request)) {
         evhttp_send_reply_end(request);
         return;
@@ -344,7 +344,7 @@
         abort_stream(this, notice);
         return;
     }
-    Http_refuse(CallerWatch_end(this->watch), this->id->str, notice);
+    Http_refuse(CallerWatch_detach(this->watch), this->id->str, notice);
 }
 
 gboolean
--- a/src/Attempt.c
+++ b/src/Attempt.c
@@ -192,7 +192,7 @@
         return 0;
     }
     this->connection.last_received_ms = Clock_nowMs();
-    Http_noDelay(this->connection.evhttp);
+    Http_setNoDelay(this->connection.evhttp);
     gboolean good = this->wire->read_head(
         evhttp_request_get_input_headers(request), &this->head);
     if (g_strcmp0(this->head.attempt->str, this->id) != 0) {
--- a/src/CallerApi.c
+++ b/src/CallerApi.c
@@ -20,19 +20,18 @@
 #define SERVICES_PATH "/v1/services/"
 #define KEY_HASH_BYTES 32
 #define DEADLINE_MAX_MS 86400000
-/* Input beyond the largest request waits in the kernel, not in our memory.
- * evhttp takes a body only once it is whole, so that less would stop it. */
-#define INPUT_MARGIN 65536
-
-static const char *const stand_once[] = {"Authorization", "Idempotency-Key",
-                                         NULL};
-static const char *const printable[] = {"Idempotency-Key", "X-Request-Id",
-                                        NULL};
-static const HeaderRules_t header_rules = {stand_once, printable};
-
-/**
- * struct Call_t - one request while it is looked at
- */
+/* Input beyond the largest request stays in the kernel's buffer rather than in
+ * the router's memory. evhttp processes a body only when it is complete, so a
+ * lower watermark than the largest request would stall that request. */
+#define INPUT_MARGIN_BYTES 65536
+
+static const char *const single_headers[] = {"Authorization",
+                                             "Idempotency-Key", NULL};
+static const char *const printable_headers[] = {"Idempotency-Key",
+                                                "X-Request-Id", NULL};
+static const HeaderRules_t header_rules = {single_headers, printable_headers};
+
+/** struct Call_t - one request during validation */
 typedef struct {
     Context_t *context;
     struct evhttp_request *http;
@@ -66,7 +65,7 @@
 }
 
 static const char *
-body_of(const Call_t *call, gsize *length)
+request_body(const Call_t *call, gsize *length)
 {
     struct evbuffer *input = evhttp_request_get_input_buffer(call->http);
     *length = evbuffer_get_length(input);
@@ -74,7 +73,7 @@
 }
 
 static const Object_t *
-customer_of(const Call_t *call)
+find_customer(const Call_t *call)
 {
     const char *header = evhttp_find_header(call->headers, "Authorization");
     if (!header || !g_str_has_prefix(header, "Bearer ")) {
@@ -92,7 +91,7 @@
 }
 
 static gint64
-level_of(const Context_t *context, const char *priority, gint64 fallback)
+priority_level(const Context_t *context, const char *priority, gint64 fallback)
 {
     const Object_t *object =
         ConfigStore_find(context->config, OBJECT_PRIORITY, priority);
@@ -103,14 +102,16 @@
 read_priority(Call_t *call)
 {
     const Customer_t *customer = call->caller.customer->spec;
-    gint64 most = level_of(call->context, customer->max_priority->str, 0);
+    gint64 max_level =
+        priority_level(call->context, customer->max_priority->str, 0);
     const char *name = evhttp_find_header(call->headers, "X-Priority");
-    gint64 wanted = name ? level_of(call->context, name, -1) : most;
-    if (wanted < 0) {
+    gint64 requested_level =
+        name ? priority_level(call->context, name, -1) : max_level;
+    if (requested_level < 0) {
         refuse(call, REFUSAL_BAD_HEADER, "X-Priority names no priority.");
         return FALSE;
     }
-    call->caller.priority = MIN(wanted, most);
+    call->caller.priority = MIN(requested_level, max_level);
     return TRUE;
 }
 
@@ -119,15 +120,15 @@
 {
     const char *text =
         evhttp_find_header(call->headers, "X-Request-Deadline-Ms");
-    guint64 wait =
+    guint64 timeout_ms =
         (guint64)call->context->settings->limits.default_deadline_ms;
     if (text && !g_ascii_string_to_unsigned(text, 10, 1, DEADLINE_MAX_MS,
-                                            &wait, NULL)) {
+                                            &timeout_ms, NULL)) {
         refuse(call, REFUSAL_BAD_HEADER,
                "X-Request-Deadline-Ms is not a number of milliseconds.");
         return FALSE;
     }
-    call->caller.deadline_ms = Clock_nowMs() + (gint64)wait;
+    call->caller.deadline_ms = Clock_nowMs() + (gint64)timeout_ms;
     return TRUE;
 }
 
@@ -146,7 +147,7 @@
 }
 
 static gboolean
-enter_limits(Call_t *call)
+acquire_slot(Call_t *call)
 {
     const Object_t *customer = call->caller.customer;
     const Customer_t *spec = customer->spec;
@@ -159,7 +160,7 @@
 }
 
 static ResumePoint_t *
-read_resume(Call_t *call, const char *token)
+open_resume_token(Call_t *call, const char *token)
 {
     ResumePoint_t *point =
         ResumeToken_open(token, call->context->settings->keys.seal, NULL);
@@ -177,11 +178,11 @@
 static void
 start_resume(Call_t *call, gboolean chat, const char *token)
 {
-    ResumePoint_t *point = read_resume(call, token);
+    ResumePoint_t *point = open_resume_token(call, token);
     if (!point) {
         return;
     }
-    if (!enter_limits(call)) {
+    if (!acquire_slot(call)) {
         ResumePoint_destroy(point);
         return;
     }
@@ -198,7 +199,7 @@
 read_prompt(Call_t *call, gboolean chat)
 {
     gsize length = 0;
-    const char *body = body_of(call, &length);
+    const char *body = request_body(call, &length);
     gboolean bad_json = FALSE;
     g_autoptr(GError) error = NULL;
     Prompt_t *prompt = Prompt_create(chat, body, length, &bad_json, &error);
@@ -230,7 +231,7 @@
     if (!prompt) {
         return;
     }
-    if (!enter_limits(call)) {
+    if (!acquire_slot(call)) {
         Prompt_destroy(prompt);
         return;
     }
@@ -328,7 +329,7 @@
         refuse(call, REFUSAL_UNKNOWN_SERVICE, NULL);
         return;
     }
-    if (!enter_limits(call)) {
+    if (!acquire_slot(call)) {
         return;
     }
     const char *query =
@@ -350,7 +351,7 @@
 {
     Refusal_t refusal = REFUSAL_BAD_HEADER;
     const char *name =
-        HeaderCheck_find(call->headers, &header_rules, &refusal);
+        HeaderCheck_findFault(call->headers, &header_rules, &refusal);
     if (name) {
         refuse(call, refusal, name);
     }
@@ -371,7 +372,7 @@
         refuse(call, REFUSAL_NOT_CONFIGURED, NULL);
         return FALSE;
     }
-    call->caller.customer = customer_of(call);
+    call->caller.customer = find_customer(call);
     if (!call->caller.customer) {
         refuse(call, REFUSAL_UNAUTHENTICATED, NULL);
         return FALSE;
@@ -380,23 +381,23 @@
 }
 
 static void
-handle_route(Call_t *call, const Endpoint_t *route)
+handle_endpoint(Call_t *call, const Endpoint_t *endpoint)
 {
-    if (evhttp_request_get_command(call->http) != route->method) {
+    if (evhttp_request_get_command(call->http) != endpoint->method) {
         refuse(call, REFUSAL_BAD_METHOD, NULL);
         return;
     }
-    if (!route->needs_customer || admit(call)) {
-        route->handle(call);
+    if (!endpoint->needs_customer || admit(call)) {
+        endpoint->handle(call);
     }
 }
 
 static void
-dispatch(Call_t *call)
+handle_path(Call_t *call)
 {
     for (gsize i = 0; i < G_N_ELEMENTS(endpoints); i++) {
         if (strcmp(call->path, endpoints[i].path) == 0) {
-            handle_route(call, &endpoints[i]);
+            handle_endpoint(call, &endpoints[i]);
             return;
         }
     }
@@ -409,8 +410,10 @@
     }
 }
 
-/* The kernel would buffer megabytes for a caller that does not read. The
- * bounds change together: a body between them would never be read. */
+/* SO_SNDBUF is set because the kernel would otherwise buffer megabytes for a
+ * caller that does not read. The read watermark is set together with evhttp's
+ * size limits: a body larger than the watermark and smaller than the limits
+ * would never be read. */
 static void
 prepare_connection(const Call_t *call)
 {
@@ -418,7 +421,7 @@
         evhttp_request_get_connection(call->http);
     const LimitsSection_t *limits = &call->context->settings->limits;
     int size = (int)limits->stream_buffer;
-    Http_noDelay(connection);
+    Http_setNoDelay(connection);
     setsockopt(
         bufferevent_getfd(evhttp_connection_get_bufferevent(connection)),
         SOL_SOCKET, SO_SNDBUF, &size, sizeof(size));
@@ -426,7 +429,7 @@
     evhttp_connection_set_max_body_size(connection, limits->max_body);
     bufferevent_setwatermark(
         evhttp_connection_get_bufferevent(connection), EV_READ, 0,
-        (size_t)(limits->max_body + limits->max_header + INPUT_MARGIN));
+        (size_t)(limits->max_body + limits->max_header + INPUT_MARGIN_BYTES));
 }
 
 void
@@ -441,5 +444,5 @@
     const struct evhttp_uri *uri = evhttp_request_get_evhttp_uri(request);
     const char *path = uri ? evhttp_uri_get_path(uri) : NULL;
     call.path = path ? path : "";
-    dispatch(&call);
+    handle_path(&call);
 }
--- a/src/CallerWatch.c
+++ b/src/CallerWatch.c
@@ -4,8 +4,8 @@
 #include <event2/event.h>
 
 struct CallerWatch {
-    struct evhttp_request *request; /* NULL once ended or left */
-    struct event *closed; /* the caller's half of the connection ended */
+    struct evhttp_request *request; /* NULL after it ended or was detached */
+    struct event *closed_event;     /* fires when the caller closed its half */
     CallerLeft_t left;
     void *owner;
 };
@@ -23,32 +23,32 @@
 }
 
 struct evhttp_request *
-CallerWatch_end(CallerWatch_t *this)
+CallerWatch_detach(CallerWatch_t *this)
 {
     struct evhttp_request *request = this->request;
     struct evhttp_connection *connection = CallerWatch_connection(this);
     if (connection) {
         evhttp_connection_set_closecb(connection, NULL, NULL);
     }
-    if (this->closed) {
-        event_free(this->closed);
-        this->closed = NULL;
+    if (this->closed_event) {
+        event_free(this->closed_event);
+        this->closed_event = NULL;
     }
     this->request = NULL;
     return request;
 }
 
 void
-CallerWatch_cut(CallerWatch_t *this)
+CallerWatch_closeConnection(CallerWatch_t *this)
 {
-    struct evhttp_request *request = CallerWatch_end(this);
+    struct evhttp_request *request = CallerWatch_detach(this);
     struct evhttp_connection *connection =
         evhttp_request_get_connection(request);
     if (connection) {
         evhttp_connection_free(connection);
     }
     else {
-        evhttp_send_reply_end(request); /* only frees it then */
+        evhttp_send_reply_end(request); /* only frees the request */
     }
 }
 
@@ -57,9 +57,9 @@
 {
     (void)connection;
     CallerWatch_t *this = data;
-    struct evhttp_request *request = CallerWatch_end(this);
+    struct evhttp_request *request = CallerWatch_detach(this);
     if (!evhttp_request_get_connection(request)) {
-        evhttp_send_reply_end(request); /* only frees it then */
+        evhttp_send_reply_end(request); /* only frees the request */
     }
     this->left(this->owner);
 }
@@ -70,7 +70,7 @@
     (void)fd;
     (void)what;
     CallerWatch_t *this = data;
-    CallerWatch_cut(this);
+    CallerWatch_closeConnection(this);
     this->left(this->owner);
 }
 
@@ -87,8 +87,8 @@
     evhttp_connection_set_closecb(connection, on_close, this);
     evutil_socket_t fd =
         bufferevent_getfd(evhttp_connection_get_bufferevent(connection));
-    this->closed = event_new(base, fd, EV_CLOSED, on_half_closed, this);
-    event_add(this->closed, NULL);
+    this->closed_event = event_new(base, fd, EV_CLOSED, on_half_closed, this);
+    event_add(this->closed_event, NULL);
     return this;
 }
 
--- a/src/CallerWatch.h
+++ b/src/CallerWatch.h
@@ -3,8 +3,8 @@
 /**
  * DOC: CallerWatch
  *
- * Watches the connection of a caller whose request is under way, so that
- * its work can be ended as soon as nobody waits for it.
+ * Watches the connection of a caller while its request is processed, so that
+ * the request can be cancelled as soon as the caller disconnects.
  */
 #include <event2/http.h>
 #include <glib.h>
@@ -12,31 +12,34 @@
 /** struct CallerWatch_t - opaque */
 typedef struct CallerWatch CallerWatch_t;
 
-/** CallerLeft_t - the caller is gone; the request is freed already */
+/** CallerLeft_t - called when the caller has disconnected; the request has
+ * been freed before */
 typedef void (*CallerLeft_t)(void *owner);
 
-/** CallerWatch_create() - start to watch */
+/** CallerWatch_create() - start to watch the connection of @request */
 CallerWatch_t *CallerWatch_create(struct event_base *base,
                                   struct evhttp_request *request,
                                   CallerLeft_t left, void *owner);
 
-/** CallerWatch_destroy() - free it; it must have ended */
+/** CallerWatch_destroy() - free it; the request must have ended or been
+ * detached before */
 void CallerWatch_destroy(CallerWatch_t *this);
 
-/** CallerWatch_request() - the request, or NULL once it has ended */
+/** CallerWatch_request() - the request; NULL after it ended or was detached */
 struct evhttp_request *CallerWatch_request(const CallerWatch_t *this);
 
-/** CallerWatch_connection() - the connection, or NULL once it is gone */
+/** CallerWatch_connection() - the connection; NULL after it was closed */
 struct evhttp_connection *CallerWatch_connection(const CallerWatch_t *this);
 
 /**
- * CallerWatch_end() - evhttp goes on with the request alone
+ * CallerWatch_detach() - stop watching and leave the request to evhttp
  *
- * Return: the request, to send or end its reply
+ * Return: the request, whose reply the caller of this function sends or ends
  */
-struct evhttp_request *CallerWatch_end(CallerWatch_t *this);
+struct evhttp_request *CallerWatch_detach(CallerWatch_t *this);
 
-/** CallerWatch_cut() - close the connection, so that no answer looks whole */
-void CallerWatch_cut(CallerWatch_t *this);
+/** CallerWatch_closeConnection() - close the connection without ending the
+ * reply, so that the caller can't take it for complete */
+void CallerWatch_closeConnection(CallerWatch_t *this);
 
 #endif
--- a/src/CrashGuard.c
+++ b/src/CrashGuard.c
@@ -5,12 +5,12 @@
 #include <xxhash.h>
 
 #include "Clock.h"
+#include "CompletedRequests.h"
 #include "CrashEvidence.h"
 #include "CrashNews.h"
 #include "CrashRecords.h"
 #include "LocalCrashes.h"
 #include "Log.h"
-#include "WholeAnswers.h"
 
 /* When a request may be retried that is refused only because of pending
  * crashes. */
@@ -24,7 +24,7 @@
     CrashEvidence_t *evidence;
     CrashNews_t *news;
     CrashRecords_t *records;
-    WholeAnswers_t *completed;
+    CompletedRequests_t *completed;
     GHashTable *requests; /* set of active requests */
     LocalCrashes_t *local_crashes;
     struct event *expire_timer;
@@ -113,7 +113,8 @@
 exempt_if_completed(CrashGuard_t *this, const CrashEntry_t *entry)
 {
     return CrashEntry_countValid(entry) >= CRASHES_TO_QUARANTINE &&
-           WholeAnswers_take(this->completed, &entry->digest, Clock_nowMs()) &&
+           CompletedRequests_consume(this->completed, &entry->digest,
+                                     Clock_nowMs()) &&
            clear_crashes(this, &entry->digest, "had_come_through");
 }
 
@@ -122,7 +123,7 @@
 static void
 note_cleared(CrashGuard_t *this, CrashEntry_t *entry)
 {
-    WholeAnswers_take(this->completed, &entry->digest, Clock_nowMs());
+    CompletedRequests_consume(this->completed, &entry->digest, Clock_nowMs());
     remove_record(this, entry);
 }
 
@@ -314,7 +315,7 @@
     this->news = CrashNews_create(base, spec->membership, this->table,
                                   &news_events, this);
     this->records = CrashRecords_create(base, &records);
-    this->completed = WholeAnswers_create();
+    this->completed = CompletedRequests_create();
     this->requests = g_hash_table_new(g_direct_hash, g_direct_equal);
     this->local_crashes = LocalCrashes_create();
     this->expire_timer = Clock_timer(base, on_expire, this);
@@ -330,7 +331,7 @@
     event_free(this->expire_timer);
     LocalCrashes_destroy(this->local_crashes);
     g_hash_table_destroy(this->requests);
-    WholeAnswers_destroy(this->completed);
+    CompletedRequests_destroy(this->completed);
     CrashRecords_destroy(this->records);
     CrashNews_destroy(this->news);
     CrashEvidence_destroy(this->evidence);
@@ -456,7 +457,7 @@
 {
     const RequestDigest_t *digest =
         RequestHashes_digest(hashes, this->spec.key);
-    WholeAnswers_note(this->completed, digest, Clock_nowMs());
+    CompletedRequests_note(this->completed, digest, Clock_nowMs());
     if (has_no_crashes(this)) {
         return;
     }
--- a/src/CrashGuard.h
+++ b/src/CrashGuard.h
@@ -8,7 +8,7 @@
  * finds out whether the upstream has crashed (CrashEvidence.h), shares the
  * crashes with all routers (CrashTable.h, CrashNews.h, CrashRecords.h) and
  * decides whether a request is quarantined. A request that was completed
- * shortly before (WholeAnswers.h) is exempt once.
+ * shortly before (CompletedRequests.h) is exempt once.
  */
 #include <event2/event.h>
 
--- a/src/EventPipe.c
+++ b/src/EventPipe.c
@@ -2,15 +2,15 @@
 
 #include <string.h>
 
-/* A line of an event that names its id. */
+/* Start of the line that holds the id of an event. */
 #define ID_FIELD "id:"
 
 struct EventPipe {
     gsize event_max;
-    struct evbuffer *rest; /* bytes of an event that is not whole yet */
+    struct evbuffer *partial; /* start of an incomplete event */
     GString *last_id;
-    guint64 passed;
-    gboolean overfull;
+    guint64 passed_count;
+    gboolean is_too_large;
     gboolean restarted;
 };
 
@@ -19,7 +19,7 @@
 {
     EventPipe_t *this = g_new0(EventPipe_t, 1);
     this->event_max = event_max;
-    this->rest = evbuffer_new();
+    this->partial = evbuffer_new();
     this->last_id = g_string_new(NULL);
     return this;
 }
@@ -27,13 +27,13 @@
 void
 EventPipe_destroy(EventPipe_t *this)
 {
-    evbuffer_free(this->rest);
+    evbuffer_free(this->partial);
     g_string_free(this->last_id, TRUE);
     g_free(this);
 }
 
 gsize
-EventPipe_firstLength(struct evbuffer *bytes)
+EventPipe_firstEventLength(struct evbuffer *bytes)
 {
     struct evbuffer_ptr plain = evbuffer_search(bytes, "\n\n", 2, NULL);
     struct evbuffer_ptr returns = evbuffer_search(bytes, "\r\n\r\n", 4, NULL);
@@ -43,7 +43,8 @@
     return plain.pos >= 0 ? (gsize)plain.pos + 2 : 0;
 }
 
-/* The value of the id line, without the space that may lead it. */
+/* Returns the value of the id line without surrounding white space, or NULL.
+ */
 static GString *
 find_id(const char *event, gsize length)
 {
@@ -65,58 +66,59 @@
 }
 
 static gboolean
-read_number(const GString *id, guint64 *number)
+parse_number(const GString *id, guint64 *number)
 {
     return g_ascii_string_to_unsigned(id->str, 10, 0, G_MAXUINT64, number,
                                       NULL);
 }
 
-/* Ids rise; those that are no numbers can't be compared. */
+/* Numeric ids increase within a stream. Other ids can't be compared, so their
+ * events always pass. */
 static gboolean
-has_passed(const EventPipe_t *this, const GString *id)
+is_duplicate(const EventPipe_t *this, const GString *id)
 {
     guint64 last = 0;
     guint64 now = 0;
-    return this->restarted && read_number(this->last_id, &last) &&
-           read_number(id, &now) && now <= last;
+    return this->restarted && parse_number(this->last_id, &last) &&
+           parse_number(id, &now) && now <= last;
 }
 
 gboolean
-EventPipe_isNumbered(const EventPipe_t *this)
+EventPipe_hasNumericId(const EventPipe_t *this)
 {
     guint64 last = 0;
-    return read_number(this->last_id, &last);
+    return parse_number(this->last_id, &last);
 }
 
 static gboolean
 pass_event(EventPipe_t *this, gsize length, struct evbuffer *out)
 {
     const char *event =
-        (const char *)evbuffer_pullup(this->rest, (ev_ssize_t)length);
+        (const char *)evbuffer_pullup(this->partial, (ev_ssize_t)length);
     GString *id = find_id(event, length);
-    gboolean again = id && has_passed(this, id);
-    if (again) {
-        evbuffer_drain(this->rest, length);
+    gboolean duplicate = id && is_duplicate(this, id);
+    if (duplicate) {
+        evbuffer_drain(this->partial, length);
     }
     else {
-        evbuffer_remove_buffer(this->rest, out, length);
-        this->passed++;
+        evbuffer_remove_buffer(this->partial, out, length);
+        this->passed_count++;
     }
-    if (id && !again) {
+    if (id && !duplicate) {
         g_string_assign(this->last_id, id->str);
     }
     if (id) {
         g_string_free(id, TRUE);
     }
-    return !again;
+    return !duplicate;
 }
 
-/* Nothing of it is kept, as its upstream may go on for ever. */
+/* Discards the partial event, as the upstream may never end it. */
 static void
-set_overfull(EventPipe_t *this)
+discard_event(EventPipe_t *this)
 {
-    this->overfull = TRUE;
-    evbuffer_drain(this->rest, evbuffer_get_length(this->rest));
+    this->is_too_large = TRUE;
+    evbuffer_drain(this->partial, evbuffer_get_length(this->partial));
 }
 
 guint
@@ -124,42 +126,43 @@
 {
     guint count = 0;
     gsize length = 0;
-    evbuffer_add_buffer(this->rest, in);
-    while (!this->overfull &&
-           (length = EventPipe_firstLength(this->rest)) > 0 &&
+    evbuffer_add_buffer(this->partial, in);
+    while (!this->is_too_large &&
+           (length = EventPipe_firstEventLength(this->partial)) > 0 &&
            length <= this->event_max) {
         count += pass_event(this, length, out) ? 1 : 0;
     }
-    if (this->overfull || evbuffer_get_length(this->rest) > this->event_max) {
-        set_overfull(this);
+    if (this->is_too_large ||
+        evbuffer_get_length(this->partial) > this->event_max) {
+        discard_event(this);
     }
     return count;
 }
 
 gboolean
-EventPipe_isOverfull(const EventPipe_t *this)
+EventPipe_isEventTooLarge(const EventPipe_t *this)
 {
-    return this->overfull;
+    return this->is_too_large;
 }
 
 void
 EventPipe_restart(EventPipe_t *this)
 {
-    evbuffer_drain(this->rest, evbuffer_get_length(this->rest));
-    this->overfull = FALSE;
+    evbuffer_drain(this->partial, evbuffer_get_length(this->partial));
+    this->is_too_large = FALSE;
     this->restarted = TRUE;
 }
 
 void
 EventPipe_flush(EventPipe_t *this, struct evbuffer *out)
 {
-    evbuffer_add_buffer(out, this->rest);
+    evbuffer_add_buffer(out, this->partial);
 }
 
 guint64
-EventPipe_passed(const EventPipe_t *this)
+EventPipe_countPassed(const EventPipe_t *this)
 {
-    return this->passed;
+    return this->passed_count;
 }
 
 const char *
--- a/src/EventPipe.h
+++ b/src/EventPipe.h
@@ -3,9 +3,9 @@
 /**
  * DOC: EventPipe
  *
- * Lets the bytes of an event stream through unchanged, but whole events
- * only, and remembers the id of the last one. Where a stream goes on at
- * another upstream, events that have passed before are left out.
+ * Passes the bytes of an event stream on unchanged, but only complete events,
+ * and stores the id of the last one. If the stream continues on another
+ * upstream, events that were passed before are dropped.
  */
 #include <event2/buffer.h>
 #include <glib.h>
@@ -14,45 +14,47 @@
 typedef struct EventPipe EventPipe_t;
 
 /**
- * EventPipe_create() - nothing has passed yet
- * @event_max: most bytes of one event
+ * EventPipe_create() - create a pipe that has passed nothing yet
+ * @event_max: maximum size of one event in bytes
  */
 EventPipe_t *EventPipe_create(gsize event_max);
 
-/** EventPipe_destroy() - free it */
+/** EventPipe_destroy() - free the pipe */
 void EventPipe_destroy(EventPipe_t *this);
 
-/** EventPipe_firstLength() - bytes of the event that these bytes begin with, 0
- * where it is not whole */
-gsize EventPipe_firstLength(struct evbuffer *bytes);
+/** EventPipe_firstEventLength() - length in bytes of the event at the start of
+ * @bytes; 0 if that event is incomplete */
+gsize EventPipe_firstEventLength(struct evbuffer *bytes);
 
 /**
- * EventPipe_feed() - take bytes
- * @in: emptied
- * @out: gets the whole events, but none from one on that is too large
+ * EventPipe_feed() - pass the complete events of the input
+ * @in: input; drained
+ * @out: receives the complete events up to the first one that is too large
  *
- * Return: how many events passed
+ * Return: number of events passed
  */
 guint EventPipe_feed(EventPipe_t *this, struct evbuffer *in,
                      struct evbuffer *out);
 
-/** EventPipe_isOverfull() - an event is too large, whole or not; nothing
- * passes any more until a restart */
-gboolean EventPipe_isOverfull(const EventPipe_t *this);
+/** EventPipe_isEventTooLarge() - whether an event, complete or not, exceeded
+ * the maximum size; nothing more passes until EventPipe_restart() */
+gboolean EventPipe_isEventTooLarge(const EventPipe_t *this);
 
-/** EventPipe_isNumbered() - whether what passes can be told from what comes
- * again: the last event has a number, and those behind it have higher ones */
-gboolean EventPipe_isNumbered(const EventPipe_t *this);
+/** EventPipe_hasNumericId() - whether duplicates can be recognized after a
+ * restart: the id of the last event is a number, and the ids of later events
+ * must be higher */
+gboolean EventPipe_hasNumericId(const EventPipe_t *this);
 
-/** EventPipe_restart() - the next bytes come from another upstream, whose
- * first event may be one that has passed */
+/** EventPipe_restart() - continue with the bytes of another upstream, whose
+ * first events may be duplicates */
 void EventPipe_restart(EventPipe_t *this);
 
-/** EventPipe_flush() - the stream is whole: let what is left through */
+/** EventPipe_flush() - pass the remaining bytes at the end of a complete
+ * stream */
 void EventPipe_flush(EventPipe_t *this, struct evbuffer *out);
 
-/** EventPipe_passed() - events that passed so far */
-guint64 EventPipe_passed(const EventPipe_t *this);
+/** EventPipe_countPassed() - number of events passed so far */
+guint64 EventPipe_countPassed(const EventPipe_t *this);
 
 /** EventPipe_lastId() - id of the last event that passed, or NULL */
 const char *EventPipe_lastId(const EventPipe_t *this);
--- a/src/HeaderCheck.c
+++ b/src/HeaderCheck.c
@@ -4,7 +4,7 @@
 #include <sys/queue.h>
 
 static guint
-count_of(const struct evkeyvalq *headers, const char *name)
+count_headers(const struct evkeyvalq *headers, const char *name)
 {
     const struct evkeyval *header = NULL;
     guint count = 0;
@@ -16,7 +16,7 @@
 }
 
 static gboolean
-has_control(const char *value)
+has_control_character(const char *value)
 {
     while (*value && !g_ascii_iscntrl(*value)) {
         value++;
@@ -25,18 +25,18 @@
 }
 
 const char *
-HeaderCheck_find(const struct evkeyvalq *headers, const HeaderRules_t *rules,
-                 Refusal_t *refusal)
+HeaderCheck_findFault(const struct evkeyvalq *headers,
+                      const HeaderRules_t *rules, Refusal_t *refusal)
 {
     for (const char *const *name = rules->printable; *name; name++) {
         const char *value = evhttp_find_header(headers, *name);
-        if (value && has_control(value)) {
+        if (value && has_control_character(value)) {
             *refusal = REFUSAL_CONTROL_CHARACTER;
             return *name;
         }
     }
     for (const char *const *name = rules->once; *name; name++) {
-        if (count_of(headers, *name) > 1) {
+        if (count_headers(headers, *name) > 1) {
             *refusal = REFUSAL_HEADER_TWICE;
             return *name;
         }
--- a/src/HeaderCheck.h
+++ b/src/HeaderCheck.h
@@ -3,9 +3,9 @@
 /**
  * DOC: HeaderCheck
  *
- * Finds what makes a request's head ambiguous: a header that may stand once
- * but stands twice, so that two readers may take different ones, and a
- * control character in a value that logs and answers repeat.
+ * Rejects ambiguous headers of a request: a header that may occur only once
+ * but is repeated, as two parsers may use different ones of its values, and a
+ * control character in a value that is copied into logs and answers.
  */
 #include <event2/http.h>
 #include <glib.h>
@@ -13,9 +13,9 @@
 #include "Refusal.h"
 
 /**
- * struct HeaderRules_t - lists of names, each ended by NULL
- * @once: may stand once
- * @printable: hold no byte below 0x20 and no 0x7f
+ * struct HeaderRules_t - NULL-terminated lists of header names
+ * @once: headers that may occur only once
+ * @printable: headers whose values must not contain bytes below 0x20 or 0x7f
  */
 typedef struct {
     const char *const *once;
@@ -23,17 +23,19 @@
 } HeaderRules_t;
 
 /**
- * HeaderCheck_find() - look for the first fault
+ * HeaderCheck_findFault() - find the first header that breaks a rule
  *
- * Control characters come first, in the order of the rules, so that whoever
- * refuses knows whether the header named first may be repeated.
+ * Control characters are checked before repeated headers, in the order of
+ * @printable. If the result is not a control character in the first header of
+ * that list, its value is safe to repeat in the refusal.
  *
- * @refusal: REFUSAL_HEADER_TWICE or REFUSAL_CONTROL_CHARACTER, where there
- *     is a fault
+ * @refusal: set to REFUSAL_HEADER_TWICE or REFUSAL_CONTROL_CHARACTER if a
+ *     header breaks a rule
  *
- * Return: name of the header at fault, of @rules; NULL where there is none
+ * Return: name of the header as in @rules; NULL if there is no fault
  */
-const char *HeaderCheck_find(const struct evkeyvalq *headers,
-                             const HeaderRules_t *rules, Refusal_t *refusal);
+const char *HeaderCheck_findFault(const struct evkeyvalq *headers,
+                                  const HeaderRules_t *rules,
+                                  Refusal_t *refusal);
 
 #endif
--- a/src/HttpCall.c
+++ b/src/HttpCall.c
@@ -13,33 +13,33 @@
     struct evhttp_connection *connection;
     struct event *deadline;
     struct event *connect_deadline;
-    struct event *reaper; /* frees us outside of evhttp's callbacks */
+    struct event *reaper; /* frees the call outside of evhttp's callbacks */
     HttpCallDone_t done;
     void *data;
-    gboolean sent; /* some bytes went out, or may have */
-    gboolean without_length;
+    gboolean sent;           /* some bytes were or may have been sent */
+    gboolean without_length; /* the answer ends only with its connection */
 };
 
 void
-Http_noDelay(struct evhttp_connection *connection)
+Http_setNoDelay(struct evhttp_connection *connection)
 {
-    struct bufferevent *stream = evhttp_connection_get_bufferevent(connection);
+    struct bufferevent *bev = evhttp_connection_get_bufferevent(connection);
     int on = 1;
-    setsockopt(bufferevent_getfd(stream), IPPROTO_TCP, TCP_NODELAY, &on,
+    setsockopt(bufferevent_getfd(bev), IPPROTO_TCP, TCP_NODELAY, &on,
                sizeof(on));
 }
 
 void
 Http_flush(struct evhttp_connection *connection)
 {
-    struct bufferevent *stream = evhttp_connection_get_bufferevent(connection);
-    struct evbuffer *output = bufferevent_get_output(stream);
-    /* The bufferevent keeps its output frozen but for its own writes. */
+    struct bufferevent *bev = evhttp_connection_get_bufferevent(connection);
+    struct evbuffer *output = bufferevent_get_output(bev);
+    /* The bufferevent freezes its output except during its own writes. */
     evbuffer_unfreeze(output, 1);
-    evbuffer_write(output, bufferevent_getfd(stream));
+    evbuffer_write(output, bufferevent_getfd(bev));
     evbuffer_freeze(output, 1);
     if (evbuffer_get_length(output) == 0) {
-        bufferevent_disable(stream, EV_WRITE);
+        bufferevent_disable(bev, EV_WRITE);
     }
 }
 
@@ -56,14 +56,15 @@
 }
 
 static void
-reap(evutil_socket_t fd, short what, void *data)
+on_reap(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
     HttpCall_destroy(data);
 }
 
-/* The callback may cancel or start other calls, but this one is over. */
+/* Ends the call and invokes the callback, once. The callback may start or
+ * cancel other calls. */
 static void
 finish(HttpCall_t *this, const HttpAnswer_t *answer, const GError *error)
 {
@@ -109,7 +110,7 @@
     }
 }
 
-/* evhttp fills the output only once the connection stands. */
+/* evhttp writes to the output buffer only after the connection is set up. */
 static void
 on_output(struct evbuffer *buffer, const struct evbuffer_cb_info *info,
           void *data)
@@ -121,7 +122,8 @@
     }
 }
 
-/* An answer that only ends with its connection can't be told from a cut. */
+/* An answer without a length ends only when its connection is closed, so that
+ * a complete answer can't be distinguished from an incomplete one. */
 static int
 on_headers(struct evhttp_request *request, void *data)
 {
@@ -142,11 +144,13 @@
     int status = request ? evhttp_request_get_response_code(request) : 0;
     if (status == 0) {
         fail(this, this->sent ? WT_ERROR_CUT : WT_ERROR_CONNECT,
-             this->sent ? "the connection ended early" : "not connected");
+             this->sent ? "the connection closed before the answer ended"
+                        : "not connected");
         return;
     }
     if (this->without_length) {
-        fail(this, WT_ERROR_BAD_ANSWER, "the answer has no length");
+        fail(this, WT_ERROR_BAD_ANSWER,
+             "the answer has no Content-Length or Transfer-Encoding");
         return;
     }
     struct evbuffer *body = evhttp_request_get_input_buffer(request);
@@ -185,12 +189,12 @@
     this->data = data;
     this->deadline = Clock_timer(base, on_deadline, this);
     this->connect_deadline = Clock_timer(base, on_connect_deadline, this);
-    this->reaper = Clock_timer(base, reap, this);
+    this->reaper = Clock_timer(base, on_reap, this);
     this->connection = evhttp_connection_base_new(
         base, NULL, spec->address->host, spec->address->port);
-    struct bufferevent *stream =
+    struct bufferevent *bev =
         evhttp_connection_get_bufferevent(this->connection);
-    evbuffer_add_cb(bufferevent_get_output(stream), on_output, this);
+    evbuffer_add_cb(bufferevent_get_output(bev), on_output, this);
     struct evhttp_request *request = evhttp_request_new(on_answer, this);
     evhttp_request_set_header_cb(request, on_headers);
     fill_request(request, spec);
@@ -211,14 +215,14 @@
     return this->sent;
 }
 
-/* The connection is freed in a later turn of the loop, in which it may come
- * up: evhttp would send the request then. */
+/* The connection is freed in a later loop iteration. If it were set up before
+ * that, evhttp would send the request. */
 static void
 forbid_sending(const HttpCall_t *this)
 {
-    struct bufferevent *stream =
+    struct bufferevent *bev =
         evhttp_connection_get_bufferevent(this->connection);
-    bufferevent_setcb(stream, NULL, NULL, NULL, NULL);
+    bufferevent_setcb(bev, NULL, NULL, NULL, NULL);
 }
 
 void
--- a/src/HttpCall.h
+++ b/src/HttpCall.h
@@ -3,9 +3,9 @@
 /**
  * DOC: HttpCall
  *
- * One HTTP request with a whole answer, on a connection of its own. It is
- * never repeated by itself. The error's code tells what is known of the
- * effect: WT_ERROR_CONNECT means that not a byte was sent.
+ * One HTTP request with a complete answer, on its own connection. It is never
+ * retried automatically. The error code tells whether the request may have had
+ * an effect: WT_ERROR_CONNECT means that no byte was sent.
  */
 #include <event2/event.h>
 #include <event2/http.h>
@@ -13,8 +13,7 @@
 
 #include "KeyTable.h"
 
-/**
- * struct HttpHeader_t - one header; lists of them end with a NULL name
+/** struct HttpHeader_t - one header; a list of headers ends with a NULL name
  */
 typedef struct {
     const char *name;
@@ -22,14 +21,14 @@
 } HttpHeader_t;
 
 /**
- * struct HttpCallSpec_t - what to ask
- * @address: whom
- * @method: as evhttp names it
- * @path: with its query
- * @headers: ended by a NULL name, or NULL
- * @body: or NULL
- * @timeout_ms: for the whole call
- * @connect_timeout_ms: for the connection alone; 0 for @timeout_ms
+ * struct HttpCallSpec_t - parameters of a call
+ * @address: address of the server
+ * @method: method as a constant of evhttp
+ * @path: path with the query
+ * @headers: headers ended by a NULL name, or NULL
+ * @body: body of the request, or NULL
+ * @timeout_ms: timeout of the entire call
+ * @connect_timeout_ms: timeout of the connection setup; 0 for @timeout_ms
  */
 typedef struct {
     const Address_t *address;
@@ -42,11 +41,11 @@
 } HttpCallSpec_t;
 
 /**
- * struct HttpAnswer_t - a whole answer, valid during the callback
+ * struct HttpAnswer_t - a complete answer, valid during the callback
  * @status: HTTP status
- * @headers: of the answer
- * @body: its bytes
- * @length: how many
+ * @headers: headers of the answer
+ * @body: body of the answer
+ * @length: length of @body in bytes
  */
 typedef struct {
     int status;
@@ -57,44 +56,36 @@
 
 /**
  * HttpCallDone_t - called once, unless the call was cancelled
- * @answer: NULL where there is an error
+ * @answer: the answer, or NULL if there is an error
  * @error: WT_ERROR_CONNECT, _TIMEOUT, _CUT or _BAD_ANSWER
  */
 typedef void (*HttpCallDone_t)(const HttpAnswer_t *answer, const GError *error,
                                void *data);
 
-/**
- * struct HttpCall_t - opaque; frees itself after its callback
- */
+/** struct HttpCall_t - opaque; frees itself after its callback */
 typedef struct HttpCall HttpCall_t;
 
-/**
- * HttpCall_start() - send a request
- */
+/** HttpCall_start() - connect and send a request */
 HttpCall_t *HttpCall_start(struct event_base *base, const HttpCallSpec_t *spec,
                            HttpCallDone_t done, void *data);
 
-/**
- * HttpCall_cancel() - close the connection; the callback is not called
- */
+/** HttpCall_cancel() - close the connection; the callback is not called */
 void HttpCall_cancel(HttpCall_t *this);
 
-/** HttpCall_wasSent() - whether some bytes went out, or may have */
+/** HttpCall_wasSent() - whether any byte was or may have been sent */
 gboolean HttpCall_wasSent(const HttpCall_t *this);
 
-/**
- * Http_noDelay() - send small writes at once on a connection
- */
-void Http_noDelay(struct evhttp_connection *connection);
+/** Http_setNoDelay() - set TCP_NODELAY on a connection */
+void Http_setNoDelay(struct evhttp_connection *connection);
 
-/** Http_copyBody() - the bytes of a request's body, freed by the caller */
+/** Http_copyBody() - copy the body of a request; freed by the caller */
 GBytes *Http_copyBody(struct evhttp_request *request);
 
 /**
- * Http_flush() - write what waits now, rather than once the loop comes by
+ * Http_flush() - write the pending output now instead of in the event loop
  *
- * It saves each token of a stream two changes of the event set and a turn of
- * the loop. What the kernel does not take stays and goes out as usual.
+ * This saves two changes of the event set and a loop iteration per token of a
+ * stream. Output that the kernel does not accept is written by the event loop.
  */
 void Http_flush(struct evhttp_connection *connection);
 
--- a/src/Refusal.h
+++ b/src/Refusal.h
@@ -3,24 +3,24 @@
 /**
  * DOC: Refusal
  *
- * Every reason for which a caller's request is refused, with the status, the
- * code and the default truth about whether it ran. One counter stands for
- * each reason.
+ * Every reason for which a caller's request is refused, with its status, its
+ * code and the default statement about whether the request ran. Each reason
+ * has a counter.
  */
 #include <glib.h>
 
 /**
- * enum RunState_t - what is known about a refused request
- * @RUN_NOT: proved that no upstream ran it
- * @RUN_MAYBE: it was sent and its outcome is unknown
- * @RUN_DONE: an upstream ran it, wholly or in part
+ * enum RunState_t - whether a refused request ran
+ * @RUN_NOT: it is certain that no upstream ran the request
+ * @RUN_MAYBE: the request was sent and its outcome is unknown
+ * @RUN_DONE: an upstream ran the request, completely or in part
  */
 typedef enum { RUN_NOT, RUN_MAYBE, RUN_DONE } RunState_t;
 
 /**
  * enum Refusal_t - why a request was refused
  *
- * The table in Refusal.c gives each one's code, status and text.
+ * The table in Refusal.c defines the code, status and message of each reason.
  */
 typedef enum {
     REFUSAL_BAD_JSON,
@@ -62,13 +62,13 @@
 } Refusal_t;
 
 /**
- * struct RefusalSpec_t - the caller's view of one reason
- * @code: stable name, also the counter's name
- * @type: group of reasons as callers of such APIs know it
+ * struct RefusalSpec_t - what a caller sees of one reason
+ * @code: stable name, also the name of the counter
+ * @type: error type as in other APIs for language models
  * @message: one sentence in English
  * @status: HTTP status
- * @retry_after_ms: time after which a repeat may succeed, 0 for never
- * @run: whether the request ran, unless the place of refusal knows better
+ * @retry_after_ms: time after which a retry may succeed; 0 for never
+ * @run: whether the request ran, if the refusing code does not know more
  */
 typedef struct {
     const char *code;
@@ -82,9 +82,10 @@
 /**
  * struct RefusalNotice_t - one refusal of a request
  * @refusal: the reason
- * @run: what is known about the request
- * @detail: more about this case, or NULL
- * @retry_after_ms: when a repeat may succeed; 0 for what the reason says
+ * @run: whether the request ran
+ * @detail: text appended to the message, or NULL
+ * @retry_after_ms: time after which a retry may succeed; 0 for the default of
+ *     the reason
  */
 typedef struct {
     Refusal_t refusal;
@@ -93,25 +94,24 @@
     guint retry_after_ms;
 } RefusalNotice_t;
 
-/** Refusal_retryAfterMs() - when the caller should come back, 0 for never */
+/** Refusal_retryAfterMs() - time after which the caller may retry, 0 for
+ * never */
 guint Refusal_retryAfterMs(const RefusalNotice_t *notice);
 
 /**
- * Refusal_spec() - look one reason up
- * @refusal: below REFUSAL_COUNT
+ * Refusal_spec() - look up the specification of a reason
+ * @refusal: reason, less than REFUSAL_COUNT
  */
 const RefusalSpec_t *Refusal_spec(Refusal_t refusal);
 
-/**
- * Refusal_runName() - the name that callers see for a run state
- */
+/** Refusal_runName() - name of a run state in the body of a refusal */
 const char *Refusal_runName(RunState_t run);
 
 /**
- * Refusal_body() - the JSON body of a refusal
+ * Refusal_body() - format the JSON body of a refusal
  * @refusal: the reason
- * @run: what is known about the request
- * @detail: more about this case, or NULL
+ * @run: whether the request ran
+ * @detail: text appended to the message, or NULL
  *
  * Return: a new string, freed by the caller
  */
--- a/src/RelayAnswer.c
+++ b/src/RelayAnswer.c
@@ -78,7 +78,7 @@
 RelayAnswer_destroy(RelayAnswer_t *this)
 {
     if (RelayAnswer_request(this)) {
-        CallerWatch_cut(this->watch);
+        CallerWatch_closeConnection(this->watch);
     }
     CallerWatch_destroy(this->watch);
     g_string_free(this->id, TRUE);
@@ -173,7 +173,7 @@
         return;
     }
     send_head(this);
-    struct evhttp_request *request = CallerWatch_end(this->watch);
+    struct evhttp_request *request = CallerWatch_detach(this->watch);
     PendingReply_watch(request);
     evhttp_send_reply_end(request);
 }
@@ -185,7 +185,7 @@
         return;
     }
     this->head_sent = TRUE;
-    struct evhttp_request *request = CallerWatch_end(this->watch);
+    struct evhttp_request *request = CallerWatch_detach(this->watch);
     PendingReply_watch(request);
     evhttp_send_reply(request, this->status, NULL, body);
 }
@@ -198,12 +198,12 @@
         return;
     }
     if (this->head_sent) {
-        CallerWatch_cut(this->watch);
+        CallerWatch_closeConnection(this->watch);
         return;
     }
     gboolean closing =
         evhttp_find_header(output_headers(this), "Connection") != NULL;
-    struct evhttp_request *request = CallerWatch_end(this->watch);
+    struct evhttp_request *request = CallerWatch_detach(this->watch);
     evhttp_clear_headers(evhttp_request_get_output_headers(request));
     RelayRefusal_t params = {refusal, run, detail, this->retry_after_ms,
                              closing};
--- a/src/RelayApi.c
+++ b/src/RelayApi.c
@@ -161,9 +161,9 @@
 {
     const RelayCallerForm_t *form = admission->context->form->caller;
     Refusal_t refusal = REFUSAL_BAD_HEADER;
-    const char *name =
-        HeaderCheck_find(evhttp_request_get_input_headers(admission->http),
-                         &form->rules, &refusal);
+    const char *name = HeaderCheck_findFault(
+        evhttp_request_get_input_headers(admission->http), &form->rules,
+        &refusal);
     if (!name) {
         return TRUE;
     }
@@ -182,7 +182,7 @@
     struct evhttp_connection *connection =
         evhttp_request_get_connection(request);
     g_autoptr(GError) error = NULL;
-    Http_noDelay(connection);
+    Http_setNoDelay(connection);
     Counters_add(admission.context->counters, "requests_total", NULL, 1);
     gboolean is_read = admission.context->form->caller->read_request(
         request, &admission.request, &error);
--- a/src/RelayExchange.c
+++ b/src/RelayExchange.c
@@ -101,7 +101,7 @@
 static guint64
 forwarded_events(const RelayExchange_t *this)
 {
-    return this->event_pipe ? EventPipe_passed(this->event_pipe) : 0;
+    return this->event_pipe ? EventPipe_countPassed(this->event_pipe) : 0;
 }
 
 static void
--- a/src/RelayMove.c
+++ b/src/RelayMove.c
@@ -183,7 +183,7 @@
 {
     RelayMove_t *this = owner;
     evbuffer_add_buffer(this->data, data);
-    gsize event = EventPipe_firstLength(this->data);
+    gsize event = EventPipe_firstEventLength(this->data);
     gsize size = event > 0 ? event : evbuffer_get_length(this->data);
     if (size > (gsize)get_context(this)->settings->limits.event_max) {
         cancel_oversized(this);
@@ -393,7 +393,7 @@
 move_from_unloading(void *stream)
 {
     RelayExchange_t *this = stream;
-    if (!this->move && EventPipe_isNumbered(this->event_pipe) &&
+    if (!this->move && EventPipe_hasNumericId(this->event_pipe) &&
         Exchange_mayRetry(&this->super)) {
         start_move(this, &unloading);
     }
@@ -433,7 +433,7 @@
 RelayMove_hedge(RelayExchange_t *this)
 {
     if (!this->event_pipe || !RelayAnswer_isHeadSent(this->answer) ||
-        !EventPipe_isNumbered(this->event_pipe)) {
+        !EventPipe_hasNumericId(this->event_pipe)) {
         return FALSE;
     }
     if (!this->move && Clock_nowMs() >= this->next_hedge_ms) {
--- a/src/RelayParts.c
+++ b/src/RelayParts.c
@@ -347,7 +347,7 @@
 receive_part(RelayParts_t *this, Member_t *from, const Wt__TopicPart *part)
 {
     if (is_config_topic(this, part->topic)) {
-        RouteSync_takePart(this->sync, part);
+        RouteSync_receivePart(this->sync, part);
     }
     else {
         UpstreamListing_receive(this->context->listing, from, part);
@@ -359,7 +359,7 @@
                     const Wt__TopicAsk *query)
 {
     if (is_config_topic(this, query->topic)) {
-        RouteSync_answer(this->sync, from, query);
+        RouteSync_answerQuery(this->sync, from, query);
     }
     else {
         UpstreamListing_answerQuery(this->context->listing, from, query);
@@ -371,7 +371,7 @@
                    const Wt__ListAsk *query)
 {
     if (is_config_topic(this, query->topic)) {
-        RouteSync_takeAsk(this->sync, from, query);
+        RouteSync_answerListQuery(this->sync, from, query);
     }
     else {
         UpstreamListing_answerListQuery(this->context->listing, from, query);
@@ -382,7 +382,7 @@
 receive_list_page(RelayParts_t *this, Member_t *from, const Wt__ListPage *page)
 {
     if (is_config_topic(this, page->topic)) {
-        RouteSync_takePage(this->sync, from, page);
+        RouteSync_receiveListPage(this->sync, from, page);
     }
     else {
         UpstreamListing_receivePage(this->context->listing, from, page);
@@ -392,7 +392,7 @@
 void
 RelayParts_syncPeer(RelayParts_t *this, Member_t *member)
 {
-    RouteSync_introduce(this->sync, member);
+    RouteSync_syncPeer(this->sync, member);
 }
 
 /* Ignores messages about claims and native configuration: a platform provides
@@ -421,7 +421,7 @@
         receive_list_page(this, from, message->list_page);
         break;
     case WT__PEER_MESSAGE__BODY_CONFIG_CURRENT:
-        RouteSync_take(this->sync, from, message->config_current);
+        RouteSync_receiveCurrent(this->sync, from, message->config_current);
         break;
     default:
         break;
--- a/src/RelayRun.c
+++ b/src/RelayRun.c
@@ -95,7 +95,7 @@
     if (EventPipe_feed(this->event_pipe, data, this->outgoing) > 0) {
         forward_events(this);
     }
-    if (EventPipe_isOverfull(this->event_pipe)) {
+    if (EventPipe_isEventTooLarge(this->event_pipe)) {
         RelayAttempt_fail(this->attempt, ATTEMPT_OVERSIZED);
     }
 }
--- a/src/ResumeToken.c
+++ b/src/ResumeToken.c
@@ -6,7 +6,7 @@
 #include "Errors.h"
 #include "Json.h"
 
-#define BASE64 sodium_base64_VARIANT_URLSAFE_NO_PADDING
+#define BASE64_VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
 #define TOKEN_MAX 2048
 
 ResumePoint_t *
@@ -33,7 +33,7 @@
 }
 
 static char *
-pack(const ResumePoint_t *point)
+encode_point(const ResumePoint_t *point)
 {
     json_t *body = json_pack(
         "{s:s, s:s, s:I, s:s, s:s, s:s}", "c", point->customer->str, "u",
@@ -47,7 +47,7 @@
 GString *
 ResumeToken_seal(const ResumePoint_t *point, GBytes *key)
 {
-    char *text = pack(point);
+    char *text = encode_point(point);
     size_t length = strlen(text);
     size_t size =
         crypto_secretbox_NONCEBYTES + crypto_secretbox_MACBYTES + length;
@@ -57,34 +57,34 @@
                           (const guint8 *)text, length, box,
                           g_bytes_get_data(key, NULL));
     free(text);
-    size_t encoded = sodium_base64_ENCODED_LEN(size, BASE64);
+    size_t encoded = sodium_base64_ENCODED_LEN(size, BASE64_VARIANT);
     GString *token = g_string_sized_new(encoded);
     g_string_set_size(token, encoded);
-    sodium_bin2base64(token->str, encoded, box, size, BASE64);
+    sodium_bin2base64(token->str, encoded, box, size, BASE64_VARIANT);
     g_string_truncate(token, encoded - 1);
     return token;
 }
 
 static void
-assign(GString *out, const json_t *body, const char *key)
+assign_field(GString *out, const json_t *body, const char *key)
 {
     const char *text = Json_getString(body, key);
     g_string_assign(out, text ? text : "");
 }
 
 static ResumePoint_t *
-unpack(const char *text, size_t length, guint64 offset)
+decode_point(const char *text, size_t length, guint64 offset)
 {
     json_t *body = Json_parse(text, length, NULL);
     if (!body) {
         return NULL;
     }
     ResumePoint_t *point = ResumePoint_create();
-    assign(point->customer, body, "c");
-    assign(point->upstream, body, "u");
-    assign(point->stream, body, "s");
-    assign(point->request, body, "r");
-    assign(point->model, body, "m");
+    assign_field(point->customer, body, "c");
+    assign_field(point->upstream, body, "u");
+    assign_field(point->stream, body, "s");
+    assign_field(point->request, body, "r");
+    assign_field(point->model, body, "m");
     point->incarnation = (guint64)Json_getInteger(body, "i", 0);
     point->offset = offset;
     json_decref(body);
@@ -104,7 +104,7 @@
                                    g_bytes_get_data(key, NULL)) != 0) {
         return NULL;
     }
-    return unpack((const char *)text, size - overhead, offset);
+    return decode_point((const char *)text, size - overhead, offset);
 }
 
 ResumePoint_t *
@@ -119,13 +119,14 @@
         guint8 box[TOKEN_MAX];
         size_t size = 0;
         if (sodium_base642bin(box, sizeof(box), text, (size_t)(dot - text),
-                              NULL, &size, NULL, BASE64) == 0) {
+                              NULL, &size, NULL, BASE64_VARIANT) == 0) {
             point = open_box(box, size, offset, key);
         }
     }
     if (!point) {
         g_set_error_literal(error, WT_ERROR, WT_ERROR_BAD_TOKEN,
-                            "not a resume token of these routers");
+                            "malformed resume token, or sealed with another "
+                            "key");
     }
     return point;
 }
--- a/src/RouteConfig.c
+++ b/src/RouteConfig.c
@@ -156,8 +156,8 @@
 }
 
 static gboolean
-route_fits(const Route_t *route, const char *host, gsize length,
-           const char *path)
+route_matches(const Route_t *route, const char *host, gsize length,
+              const char *path)
 {
     return route->host->len == length &&
            g_ascii_strncasecmp(route->host->str, host, length) == 0 &&
@@ -172,7 +172,7 @@
     gsize length = host_length(host);
     for (guint i = 0; i < this->routes->len; i++) {
         const Route_t *route = g_ptr_array_index(this->routes, i);
-        if (route_fits(route, host, length, path) &&
+        if (route_matches(route, host, length, path) &&
             (!best || route->prefix->len > best->prefix->len)) {
             best = route;
         }
@@ -201,14 +201,14 @@
                          .service->str
                    : NULL;
     }
-    guint64 rest = draw % this->weight_sum;
+    guint64 remainder = draw % this->weight_sum;
     for (guint i = 0; i < this->targets->len; i++) {
         const RouteTarget_t *target =
             &g_array_index(this->targets, RouteTarget_t, i);
-        if (rest < target->weight) {
+        if (remainder < target->weight) {
             return target->service->str;
         }
-        rest -= target->weight;
+        remainder -= target->weight;
     }
     return NULL;
 }
--- a/src/RouteConfig.h
+++ b/src/RouteConfig.h
@@ -3,10 +3,10 @@
 /**
  * DOC: RouteConfig
  *
- * One whole version of a configuration made of routes: which requests go to
- * which service, who may send them, and how long they may take. It is built
- * once by a decoder, never changed afterwards, and counted by reference, so
- * that a request keeps the version that it began under.
+ * One complete version of a configuration made of routes: which requests go to
+ * which service, who may send them, and how long they may take. A decoder
+ * builds it once; it is immutable afterwards and reference-counted, so that a
+ * request keeps the version under which it began.
  */
 #include <glib.h>
 
@@ -14,10 +14,10 @@
 #include "TokenBucket.h"
 
 /**
- * enum RouteKind_t - what may be done with a route's requests
- * @ROUTE_REPEATABLE: running one again does no harm
- * @ROUTE_ONCE: each runs at most once
- * @ROUTE_STREAM: answered by a stream of events
+ * enum RouteKind_t - how the requests of a route may be executed
+ * @ROUTE_REPEATABLE: a request may run more than once
+ * @ROUTE_ONCE: a request runs at most once
+ * @ROUTE_STREAM: the answer is a stream of events
  */
 typedef enum {
     ROUTE_REPEATABLE,
@@ -27,8 +27,8 @@
 
 /**
  * struct RouteTarget_t - a service that gets a share of a route's requests
- * @service: its name
- * @weight: its share, relative to those of the others
+ * @service: name of the service
+ * @weight: share relative to the weights of the route's other targets
  */
 typedef struct {
     GString *service;
@@ -37,20 +37,20 @@
 
 /**
  * struct Route_t - one route
- * @name: for logs and counters
+ * @name: name in logs and counters
  * @host: value of the Host header, without a port
- * @prefix: start of the path; the longest one that fits counts
- * @kind: what may be done with its requests
- * @resumable: a stream may go on at another upstream
+ * @prefix: prefix of the path; the route with the longest match is used
+ * @kind: how the requests may be executed
+ * @resumable: a stream may continue on another upstream
  * @needs_key: the request must carry a customer's key
- * @by_prefix: placed by the prefix of its prompt
- * @time_limit_ms: longest time that a request may take, 0 for none
- * @objective_ms: time to the answer, or the first event, that is aimed at
- * @pause_ms: longest pause between events that is aimed at
- * @rank: 0 is served first
- * @max_attempts: upstreams that one request may be sent to
- * @targets: RouteTarget_t
- * @weight_sum: of all targets
+ * @by_prefix: requests are placed by the prefix of their prompt
+ * @time_limit_ms: maximum duration of a request; 0 for none
+ * @objective_ms: target for the time to the answer, or to the first event
+ * @pause_ms: target for the longest pause between events
+ * @rank: rank of the requests; 0 is served first
+ * @max_attempts: maximum number of upstreams that a request is sent to
+ * @targets: array of RouteTarget_t
+ * @weight_sum: sum of the weights of @targets
  */
 typedef struct {
     GString *name;
@@ -71,12 +71,13 @@
 
 /**
  * struct RouteCustomer_t - a customer
- * @name: its name
- * @rank: goes before that of the route; ROUTE_NO_RANK for none
- * @shares_cache: its cached prefixes may serve others of the same kind
- * @limit: what it may ask of all routers together
- * @by_tokens: @limit counts tokens, else requests
- * @plain_tokens: that a request counts for which names none
+ * @name: the customer's name
+ * @rank: overrides the rank of the route; ROUTE_NO_RANK for none
+ * @shares_cache: cached prefixes are shared with the other customers that set
+ *     this
+ * @limit: rate limit over all routers together
+ * @by_tokens: @limit counts tokens; requests if FALSE
+ * @plain_tokens: tokens charged for a request that states no number of tokens
  */
 typedef struct {
     GString *name;
@@ -87,19 +88,20 @@
     guint plain_tokens;
 } RouteCustomer_t;
 
-/** Rank of a customer that has none of its own */
+/** @rank of a customer that does not override the rank of the route */
 #define ROUTE_NO_RANK G_MAXUINT
 
 /**
- * struct RouteService_t - a service that routes lead to
- * @name: its name
- * @health_path: where its upstreams answer for their health
- * @max_connections: that one upstream takes from all routers together
- * @slots: requests that one engine works on at once, 0 for a plain service
- * @cache_tokens: that one engine's memory holds, 0 for a plain service
- * @token_bytes: of a cached token, 0 for unknown
- * @link_mbit: that one engine's link carries in a second, in Mbit; 0 for
- *     unknown
+ * struct RouteService_t - a service that is the target of routes
+ * @name: the service's name
+ * @health_path: path of the health check of its upstreams
+ * @max_connections: maximum connections to one upstream from all routers
+ *     together
+ * @slots: requests that one engine processes at once; 0 for a plain service
+ * @cache_tokens: capacity of one engine's cache in tokens; 0 for a plain
+ *     service
+ * @token_bytes: size of one cached token; 0 for unknown
+ * @link_mbit: bandwidth of one engine's link in Mbit/s; 0 for unknown
  * @models: names of the models of its engines, GString *
  */
 typedef struct {
@@ -114,12 +116,12 @@
 } RouteService_t;
 
 /**
- * struct RouteKvStore_t - a store of cached prefixes beside the engines
- * @name: its name
- * @address: where engines reach it
- * @hall: where it stands
- * @cache_tokens: that it holds
- * @link_mbit: that its link carries in a second, in Mbit; 0 for unknown
+ * struct RouteKvStore_t - a store of cached prefixes outside the engines
+ * @name: the store's name
+ * @address: address at which engines reach the store
+ * @hall: hall of the store
+ * @cache_tokens: capacity in tokens
+ * @link_mbit: bandwidth of the store's link in Mbit/s; 0 for unknown
  */
 typedef struct {
     GString *name;
@@ -130,18 +132,18 @@
 } RouteKvStore_t;
 
 /**
- * struct RouteConfig_t - a whole version
- * @version: grows with each change
+ * struct RouteConfig_t - one complete version of the configuration
+ * @version: increases with each change
  * @routes: Route_t *
- * @services: name to RouteService_t *
+ * @services: name -> RouteService_t *
  * @kv_stores: RouteKvStore_t *
  * @customers: RouteCustomer_t *
- * @keys: key to RouteCustomer_t * of @customers
- * @max_header: largest head of a request, in bytes
- * @max_body: largest body of a request, in bytes
- * @header_timeout_ms: longest time that a head may take to come
- * @idle_timeout_ms: longest rest of a caller's connection
- * @references: by which it is held
+ * @keys: key -> RouteCustomer_t * of @customers
+ * @max_header: maximum size of a request's head, in bytes
+ * @max_body: maximum size of a request's body, in bytes
+ * @header_timeout_ms: timeout for receiving a request's head
+ * @idle_timeout_ms: timeout of a caller's idle connection
+ * @references: reference count
  */
 typedef struct {
     guint64 version;
@@ -157,58 +159,58 @@
     guint references;
 } RouteConfig_t;
 
-/** RouteConfig_create() - an empty version, with one reference */
+/** RouteConfig_create() - create an empty version with one reference */
 RouteConfig_t *RouteConfig_create(guint64 version);
 
-/** RouteConfig_ref() - one more reference */
+/** RouteConfig_ref() - add a reference */
 RouteConfig_t *RouteConfig_ref(RouteConfig_t *this);
 
-/** RouteConfig_unref() - free it with its last reference */
+/** RouteConfig_unref() - drop a reference; the last one frees the version */
 void RouteConfig_unref(RouteConfig_t *this);
 
-/** RouteConfig_addRoute() - a new route, owned by the configuration */
+/** RouteConfig_addRoute() - add a route, owned by the configuration */
 Route_t *RouteConfig_addRoute(RouteConfig_t *this, const char *name);
 
-/** Route_addTarget() - give a service a share of a route's requests */
+/** Route_addTarget() - add a service that gets a share of the requests */
 void Route_addTarget(Route_t *this, const char *service, guint weight);
 
-/** RouteConfig_addService() - a new service, owned by the configuration */
+/** RouteConfig_addService() - add a service, owned by the configuration */
 RouteService_t *RouteConfig_addService(RouteConfig_t *this, const char *name);
 
-/** RouteConfig_addKvStore() - a new store, owned by the configuration */
+/** RouteConfig_addKvStore() - add a store, owned by the configuration */
 RouteKvStore_t *RouteConfig_addKvStore(RouteConfig_t *this, const char *name);
 
-/** RouteConfig_addCustomer() - a new customer, owned by the configuration */
+/** RouteConfig_addCustomer() - add a customer, owned by the configuration */
 RouteCustomer_t *RouteConfig_addCustomer(RouteConfig_t *this,
                                          const char *name);
 
-/** RouteConfig_addKey() - let a key name a customer */
+/** RouteConfig_addKey() - map a key to a customer */
 void RouteConfig_addKey(RouteConfig_t *this, const char *key,
                         RouteCustomer_t *customer);
 
 /**
- * RouteConfig_findRoute() - the route of a request
- * @host: Host header; a port is passed over
- * @path: without its query
+ * RouteConfig_findRoute() - find the route of a request
+ * @host: value of the Host header; a port is ignored
+ * @path: path without the query
  *
- * Return: the host's route with the longest prefix that fits, or NULL
+ * Return: the host's route with the longest matching prefix, or NULL
  */
 const Route_t *RouteConfig_findRoute(const RouteConfig_t *this,
                                      const char *host, const char *path);
 
-/** RouteConfig_findCustomer() - whose key it is, or NULL */
+/** RouteConfig_findCustomer() - the customer of a key, or NULL */
 const RouteCustomer_t *RouteConfig_findCustomer(const RouteConfig_t *this,
                                                 const char *key);
 
-/** RouteConfig_findService() - by name, or NULL */
+/** RouteConfig_findService() - the service of a name, or NULL */
 const RouteService_t *RouteConfig_findService(const RouteConfig_t *this,
                                               const char *name);
 
 /**
- * Route_pickTarget() - the service that a request goes to
- * @draw: any number; the weights split its remainder
+ * Route_pickTarget() - choose the service for a request by the weights
+ * @draw: random number; its remainder modulo @weight_sum selects the target
  *
- * Return: NULL where the route has no target
+ * Return: the service's name; NULL if the route has no target
  */
 const char *Route_pickTarget(const Route_t *this, guint32 draw);
 
--- a/src/RouteSync.c
+++ b/src/RouteSync.c
@@ -10,34 +10,37 @@
 #include "RecordRelay.h"
 #include "RouteVersions.h"
 
-/* How often it is checked whether peers still tell something. */
+/* Interval of the check whether peers still send updates. */
 #define TICK_MS 200
-/* Where peers have told nothing for so long, a router asks for itself, as
- * those that ask for all may be gone or cut off; not more often than once in
- * the second time, doubled so often while the store does not answer. */
-#define UNTOLD_MS 1800
-#define ASK_EVERY_MS 1000
-#define ASK_DOUBLINGS 2
-/* A reader leaves it to those before it, each for so much longer than a read
- * is held: their word comes within some hundred milliseconds. */
+/* A router that received no update from peers for UPDATE_TIMEOUT_MS checks the
+ * store itself, as the readers may have departed or lost their links. It
+ * checks at most once per STORE_CHECK_INTERVAL_MS; consecutive failures double
+ * the interval up to STORE_CHECK_DOUBLINGS_MAX times. */
+#define UPDATE_TIMEOUT_MS 1800
+#define STORE_CHECK_INTERVAL_MS 1000
+#define STORE_CHECK_DOUBLINGS_MAX 2
+/* A reader of rank n > 0 waits reader_wait_ms + n * READER_STEP_MS before it
+ * reads: the update of the reader of rank 0 arrives within some hundred
+ * milliseconds after the held read ends. */
 #define READER_STEP_MS 300
-/* Each further router in rank repeats a call that has failed so much later. */
+/* Delay of the retry of a failed call, per router of lower rank. */
 #define RETRY_STEP_MS 100
-/* Routers that are untold at once ask one after the other, so much of time
- * for each of them up to the most: the first answer reaches the rest, which
- * then need not ask. The most leaves a second of the usual limit on age. */
-#define UNTOLD_SPREAD_MS 10
-#define UNTOLD_SPREAD_MOST_MS 1000
-/* Turns that are told apart when one is drawn. */
-#define TURNS 1000
-/* Who is behind the others asks the store not more often than this. */
-#define ASK_BEHIND_MS 400
-/* Who is behind asks peers for so long before it asks the store: a router
- * that tells of a record may itself have only heard of it. */
-#define BEHIND_MOST_MS 600
-/* And asks a peer not more often than this: the answer takes a round trip
- * and, of a configuration of 100 KB on a link of 10 Mbit/s, 80 ms. */
-#define PULL_EVERY_MS 100
+/* Routers that stop receiving updates at the same time spread their store
+ * checks at random over this time per router, up to a maximum: the first
+ * router that gets a reply sends it to the others, which then need no check.
+ * The maximum leaves one second of the usual limit on the age. */
+#define CHECK_SPREAD_PER_ROUTER_MS 10
+#define CHECK_SPREAD_MAX_MS 1000
+/* Number of distinct values of spread_fraction. */
+#define SPREAD_STEPS 1000
+/* Minimum interval of store checks while this router is behind its peers. */
+#define BEHIND_CHECK_INTERVAL_MS 400
+/* A router that is behind queries peers for this time before it checks the
+ * store: a peer that announces a record may not have the record itself. */
+#define PEER_CATCH_UP_TIMEOUT_MS 600
+/* Minimum interval of queries to peers: the answer takes a round trip and, for
+ * a configuration of 100 KB on a link of 10 Mbit/s, 80 ms. */
+#define PEER_QUERY_INTERVAL_MS 100
 
 struct RouteSync {
     RouteSyncSpec_t spec;
@@ -46,56 +49,56 @@
     FreshnessRelay_t *relay;
     RecordRelay_t *records;
     ListCopy_t *copy;
-    ListExchange_t *exchange; /* for a start beside many others */
-    GHashTable *newest; /* key -> KeyedRecord_t, to tell peers that ask */
+    ListExchange_t *exchange; /* lists from peers when many routers start */
+    GHashTable *newest;       /* key -> KeyedRecord_t, for answers to peers */
     struct event *tick;
-    gint64 asked_ms;
-    gint64 pulled_ms;
-    gint64 called_ms;      /* when this router last took its turn */
-    StorePosition_t ahead; /* furthest end that peers have told of */
-    gint64 behind_ms; /* since when less is known here; 0 where it is not */
-    double turn;      /* from 0 to 1, when it asks of those that are untold */
-    gboolean feeding; /* what is told now comes from a peer */
-    gboolean copied;  /* the copy is whole since the last list */
+    gint64 store_checked_ms;
+    gint64 peer_queried_ms;
+    gint64 store_called_ms;   /* when retry_delay_ms() last allowed a call */
+    StorePosition_t peer_end; /* furthest end received from peers */
+    gint64 behind_ms;         /* since when peers know more; 0 if not */
+    double spread_fraction;   /* 0 to 1: share of the spread of store checks */
+    gboolean is_from_peer;    /* the records being applied are from a peer */
+    gboolean is_copy_complete; /* the copy has all records since the list */
 };
 
 static void
-keep_newest(RouteSync_t *this, const KeyedRecord_t *record)
+store_newest(RouteSync_t *this, const KeyedRecord_t *record)
 {
-    KeyedRecord_t *kept = g_new0(KeyedRecord_t, 1);
-    kept->key = g_string_new(record->key->str);
-    kept->value = record->value ? g_bytes_ref(record->value) : NULL;
-    kept->position = record->position;
-    g_hash_table_replace(this->newest, kept->key->str, kept);
+    KeyedRecord_t *stored = g_new0(KeyedRecord_t, 1);
+    stored->key = g_string_new(record->key->str);
+    stored->value = record->value ? g_bytes_ref(record->value) : NULL;
+    stored->position = record->position;
+    g_hash_table_replace(this->newest, stored->key->str, stored);
 }
 
 static void
 on_record(void *owner, const KeyedRecord_t *record)
 {
     RouteSync_t *this = owner;
-    keep_newest(this, record);
+    store_newest(this, record);
     ListCopy_put(this->copy, record);
     if (!RecordFollower_isListing(this->follower)) {
         ListCopy_noteChange(this->copy, record);
     }
     RecordRelay_addUpdate(this->records, record->key->str, record->value,
                           record->position);
-    RouteVersions_take(this->versions, record);
+    RouteVersions_apply(this->versions, record);
 }
 
 static gint64
-reader_pause_ms(const RouteSync_t *this)
+reader_delay_ms(const RouteSync_t *this)
 {
     gint64 rank = FreshnessRelay_rank(this->relay);
     return rank > 0 ? this->spec.reader_wait_ms + rank * READER_STEP_MS : 0;
 }
 
 static void
-set_reads(RouteSync_t *this)
+set_read_timing(RouteSync_t *this)
 {
     if (FreshnessRelay_isReader(this->relay)) {
         RecordFollower_setReadTiming(this->follower, this->spec.reader_wait_ms,
-                                     reader_pause_ms(this), 0);
+                                     reader_delay_ms(this), 0);
         return;
     }
     RecordFollower_setReadTiming(this->follower, 0, this->spec.wait_ms,
@@ -103,36 +106,38 @@
 }
 
 static gboolean
-ask_peer(RouteSync_t *this, Member_t *from, StorePosition_t known)
+query_peer(RouteSync_t *this, Member_t *from, StorePosition_t known)
 {
     gint64 now_ms = Clock_nowMs();
-    if (now_ms - this->pulled_ms < PULL_EVERY_MS) {
+    if (now_ms - this->peer_queried_ms < PEER_QUERY_INTERVAL_MS) {
         return TRUE;
     }
     gboolean sent = RecordRelay_sendQuery(
         this->records, from, known, RouteVersions_newest(this->versions));
     if (sent) {
-        this->pulled_ms = now_ms;
+        this->peer_queried_ms = now_ms;
     }
     return sent;
 }
 
-/* A peer that has a newer configuration told so before it could be asked. */
+/* For the case that the update from the peer with the newer configuration came
+ * before this router could query it: queries the first linked peer. */
 static void
-ask_any(RouteSync_t *this)
+query_any_peer(RouteSync_t *this)
 {
     const GPtrArray *members = Membership_members(this->spec.membership);
     StorePosition_t known = RecordFollower_position(this->follower);
     for (guint i = 0; i < members->len; i++) {
-        if (ask_peer(this, g_ptr_array_index(members, i), known)) {
+        if (query_peer(this, g_ptr_array_index(members, i), known)) {
             return;
         }
     }
 }
 
-/* What is too long to be told to all is asked for by those that hear of it. */
+/* Broadcasts the new records. If they are too long for that, only the new end
+ * is broadcast, and peers query for the records. */
 static void
-pass_on(RouteSync_t *this, StorePosition_t end, gint64 at_ms)
+broadcast_updates(RouteSync_t *this, StorePosition_t end, gint64 at_ms)
 {
     if (!RecordRelay_hasUpdates(this->records)) {
         return;
@@ -140,36 +145,36 @@
     if (RecordRelay_isOversized(this->records)) {
         FreshnessRelay_broadcastNow(this->relay);
     }
-    RecordRelay_broadcast(this->records, end, at_ms, 0, this->feeding);
+    RecordRelay_broadcast(this->records, end, at_ms, 0, this->is_from_peer);
 }
 
 static void
 on_current(void *owner, StorePosition_t end, gint64 at_ms)
 {
     RouteSync_t *this = owner;
-    if (StorePosition_compare(end, this->ahead) >= 0) {
+    if (StorePosition_compare(end, this->peer_end) >= 0) {
         this->behind_ms = 0;
     }
-    if (!this->copied) {
-        this->copied = TRUE;
+    if (!this->is_copy_complete) {
+        this->is_copy_complete = TRUE;
         ListCopy_startChanges(this->copy, end);
     }
     ListExchange_setCurrent(this->exchange, end, at_ms);
     RouteVersions_noteCurrent(this->versions, at_ms);
     FreshnessRelay_noteEnd(this->relay, end, at_ms);
-    pass_on(this, end, at_ms);
-    set_reads(this);
+    broadcast_updates(this, end, at_ms);
+    set_read_timing(this);
     if (RouteVersions_isBehind(this->versions)) {
-        ask_any(this);
+        query_any_peer(this);
     }
 }
 
 static void
-ask_store(RouteSync_t *this, gint64 least_ms, StoreCause_t cause)
+check_store(RouteSync_t *this, gint64 min_interval_ms, StoreCause_t cause)
 {
     gint64 now_ms = Clock_nowMs();
-    if (now_ms - this->asked_ms >= least_ms) {
-        this->asked_ms = now_ms;
+    if (now_ms - this->store_checked_ms >= min_interval_ms) {
+        this->store_checked_ms = now_ms;
         RecordFollower_checkEnd(this->follower, cause);
     }
 }
@@ -178,39 +183,41 @@
 is_long_behind(const RouteSync_t *this)
 {
     return this->behind_ms > 0 &&
-           Clock_nowMs() - this->behind_ms >= BEHIND_MOST_MS;
+           Clock_nowMs() - this->behind_ms >= PEER_CATCH_UP_TIMEOUT_MS;
 }
 
 static void
 catch_up(RouteSync_t *this, Member_t *from, StorePosition_t known,
          StorePosition_t end)
 {
-    if (StorePosition_compare(end, this->ahead) > 0) {
-        this->ahead = end;
+    if (StorePosition_compare(end, this->peer_end) > 0) {
+        this->peer_end = end;
     }
     if (this->behind_ms == 0) {
         this->behind_ms = Clock_nowMs();
     }
     if (from && !is_long_behind(this)) {
-        ask_peer(this, from, known);
+        query_peer(this, from, known);
     }
     else {
-        ask_store(this, ASK_BEHIND_MS, STORE_BEHIND);
+        check_store(this, BEHIND_CHECK_INTERVAL_MS, STORE_BEHIND);
     }
 }
 
-/* Who was told that there is nothing new need not ask for it. */
+/* Tells the follower that the topic has no records after @end, so that it need
+ * not read for them. */
 static void
-feed_end(RouteSync_t *this, StorePosition_t end, gint64 at_ms)
+apply_peer_end(RouteSync_t *this, StorePosition_t end, gint64 at_ms)
 {
     KeyedPage_t page = {.records = g_ptr_array_new(), .end = end};
-    this->feeding = TRUE;
+    this->is_from_peer = TRUE;
     RecordFollower_applyPeerRecords(this->follower, end.offset, &page, at_ms);
-    this->feeding = FALSE;
+    this->is_from_peer = FALSE;
     g_ptr_array_unref(page.records);
 }
 
-/* Only who has read to the same end knows that nothing newer existed. */
+/* The peer's time is valid for this router only if it has read to the same
+ * end; otherwise newer records may exist. */
 static gboolean
 on_fresh(void *owner, Member_t *from, StorePosition_t end, gint64 at_ms)
 {
@@ -222,44 +229,46 @@
     if (known.epoch != end.epoch) {
         return FALSE;
     }
-    gint ahead = StorePosition_compare(known, end);
-    if (ahead == 0) {
+    gint order = StorePosition_compare(known, end);
+    if (order == 0) {
         RouteVersions_noteCurrent(this->versions, at_ms);
-        feed_end(this, end, at_ms);
+        apply_peer_end(this, end, at_ms);
     }
-    else if (ahead < 0 && known.offset > 0) {
+    else if (order < 0 && known.offset > 0) {
         catch_up(this, from, known, end);
     }
-    return ahead >= 0;
+    return order >= 0;
 }
 
-/* By the routers that are known now: at a start they are not yet. */
+/* Computed from the current membership, which is not known yet at the start.
+ */
 static gint64
 spread_ms(const RouteSync_t *this)
 {
     gint64 routers = Membership_countActive(this->spec.membership);
-    gint64 most_ms = MIN(routers * UNTOLD_SPREAD_MS, UNTOLD_SPREAD_MOST_MS);
-    return (gint64)(this->turn * (double)most_ms);
+    gint64 max_ms =
+        MIN(routers * CHECK_SPREAD_PER_ROUTER_MS, CHECK_SPREAD_MAX_MS);
+    return (gint64)(this->spread_fraction * (double)max_ms);
 }
 
 static void
-draw_turn(RouteSync_t *this)
+draw_spread_fraction(RouteSync_t *this)
 {
-    this->turn = (double)Random_below(TURNS) / TURNS;
+    this->spread_fraction = (double)Random_below(SPREAD_STEPS) / SPREAD_STEPS;
 }
 
-/* All routers list the topic anew at once: they take turns, as those that are
- * untold do. */
+/* All routers list the topic again at the same time. The delay spreads their
+ * lists in the same way as store checks without updates. */
 static void
-on_return(void *owner)
+on_epoch_change(void *owner)
 {
     RouteSync_t *this = owner;
-    this->ahead = (StorePosition_t){0};
+    this->peer_end = (StorePosition_t){0};
     this->behind_ms = 0;
-    this->copied = FALSE;
+    this->is_copy_complete = FALSE;
     RecordFollower_beginEpoch(this->follower, spread_ms(this));
     ListExchange_startQueries(this->exchange);
-    draw_turn(this);
+    draw_spread_fraction(this);
 }
 
 static guint64
@@ -274,16 +283,16 @@
     .version = version_in_force,
 };
 
-/* A call that fails shows that the store has too much to do, or that it is
- * away: routers take turns then, and ask each other meanwhile. */
+/* A failed call means that the store is overloaded or down: routers then retry
+ * in the order of their rank and query each other meanwhile. */
 static gint64
-wait_ms(void *owner, gboolean lists)
+retry_delay_ms(void *owner, gboolean lists)
 {
     (void)lists;
     RouteSync_t *this = owner;
     gint64 now_ms = Clock_nowMs();
     gint64 rank = FreshnessRelay_rank(this->relay);
-    gint64 due_ms = this->called_ms + rank * RETRY_STEP_MS;
+    gint64 due_ms = this->store_called_ms + rank * RETRY_STEP_MS;
     gboolean waits = RecordFollower_isLost(this->follower) &&
                      Membership_members(this->spec.membership)->len > 0;
     if (waits && rank == G_MAXUINT) {
@@ -292,27 +301,28 @@
     if (waits && due_ms > now_ms) {
         return due_ms - now_ms;
     }
-    this->called_ms = now_ms;
+    this->store_called_ms = now_ms;
     return 0;
 }
 
 static const RecordFollowerEvents_t follower_events = {
     .record = on_record,
     .current = on_current,
-    .wait_ms = wait_ms,
+    .wait_ms = retry_delay_ms,
 };
 
 static void
-ask_untold(RouteSync_t *this)
+check_store_if_stale(RouteSync_t *this)
 {
-    gint64 most_ms = UNTOLD_MS + spread_ms(this);
-    if (RouteTable_isFresh(this->spec.routes, most_ms)) {
+    gint64 max_ms = UPDATE_TIMEOUT_MS + spread_ms(this);
+    if (RouteTable_isFresh(this->spec.routes, max_ms)) {
         return;
     }
-    guint doublings =
-        MIN(RecordFollower_failedChecks(this->follower), ASK_DOUBLINGS);
-    ask_store(this, ASK_EVERY_MS << doublings, STORE_PEERS_SILENT);
-    draw_turn(this);
+    guint doublings = MIN(RecordFollower_failedChecks(this->follower),
+                          STORE_CHECK_DOUBLINGS_MAX);
+    check_store(this, STORE_CHECK_INTERVAL_MS << doublings,
+                STORE_PEERS_SILENT);
+    draw_spread_fraction(this);
 }
 
 static void
@@ -321,11 +331,11 @@
     (void)fd;
     (void)what;
     RouteSync_t *this = data;
-    set_reads(this);
+    set_read_timing(this);
     if (is_long_behind(this)) {
-        ask_store(this, ASK_BEHIND_MS, STORE_BEHIND);
+        check_store(this, BEHIND_CHECK_INTERVAL_MS, STORE_BEHIND);
     }
-    ask_untold(this);
+    check_store_if_stale(this);
     Clock_arm(this->tick, TICK_MS);
 }
 
@@ -372,8 +382,8 @@
         RecordFollower_create(base, &follow, &follower_events, this);
     ListExchange_setFollower(this->exchange, this->follower);
     this->tick = Clock_timer(base, on_tick, this);
-    StoreEpoch_addListener(spec->epoch, on_return, this);
-    draw_turn(this);
+    StoreEpoch_addListener(spec->epoch, on_epoch_change, this);
+    draw_spread_fraction(this);
     Clock_arm(this->tick, TICK_MS);
     return this;
 }
@@ -400,60 +410,63 @@
     g_free(this);
 }
 
-/* A router that has read the records to their end may still be behind: the
- * store may have lost what its peers have in force. */
+/* A router that has read all records may still be behind, as the store may
+ * have lost the configuration that its peers have in force. */
 void
-RouteSync_take(RouteSync_t *this, Member_t *from,
-               const Wt__ConfigCurrent *message)
+RouteSync_receiveCurrent(RouteSync_t *this, Member_t *from,
+                         const Wt__ConfigCurrent *message)
 {
     StorePosition_t known = RecordFollower_position(this->follower);
-    RouteVersions_tell(this->versions, message->version);
+    RouteVersions_notePeerVersion(this->versions, message->version);
     if (from && known.offset > 0 && RouteVersions_isBehind(this->versions)) {
-        ask_peer(this, from, known);
+        query_peer(this, from, known);
     }
     FreshnessRelay_receive(this->relay, from, message);
 }
 
 void
-RouteSync_introduce(RouteSync_t *this, Member_t *member)
+RouteSync_syncPeer(RouteSync_t *this, Member_t *member)
 {
     FreshnessRelay_syncPeer(this->relay, member);
 }
 
 static void
-take_apart(RouteSync_t *this, const Wt__TopicPart *message)
+apply_lost_records(RouteSync_t *this, const Wt__TopicPart *message)
 {
     KeyedPage_t page = RecordRelay_decode(message);
     for (guint i = 0; i < page.records->len; i++) {
-        RouteVersions_take(this->versions, g_ptr_array_index(page.records, i));
+        RouteVersions_apply(this->versions,
+                            g_ptr_array_index(page.records, i));
     }
     g_ptr_array_unref(page.records);
 }
 
 void
-RouteSync_takeAsk(RouteSync_t *this, Member_t *from, const Wt__ListAsk *ask)
+RouteSync_answerListQuery(RouteSync_t *this, Member_t *from,
+                          const Wt__ListAsk *ask)
 {
     ListExchange_answerQuery(this->exchange, from, ask);
 }
 
 void
-RouteSync_takePage(RouteSync_t *this, Member_t *from, const Wt__ListPage *page)
+RouteSync_receiveListPage(RouteSync_t *this, Member_t *from,
+                          const Wt__ListPage *page)
 {
     if (FreshnessRelay_mayBeStale(this->relay)) {
-        return; /* it is asked for again */
+        return; /* its age is unknown; the page is queried again */
     }
-    this->feeding = TRUE;
+    this->is_from_peer = TRUE;
     ListExchange_receivePage(this->exchange, from, page);
-    this->feeding = FALSE;
+    this->is_from_peer = FALSE;
 }
 
-/* Records hold whenever they come; how fresh they are is not known where they
- * may have waited here. */
+/* Records are valid however late they are processed. The time at which they
+ * were the newest is unknown if the message may have waited in this router. */
 void
-RouteSync_takePart(RouteSync_t *this, const Wt__TopicPart *message)
+RouteSync_receivePart(RouteSync_t *this, const Wt__TopicPart *message)
 {
     if (message->apart) {
-        take_apart(this, message);
+        apply_lost_records(this, message);
         return;
     }
     if (!StoreEpoch_note(this->spec.epoch, message->epoch, "peer")) {
@@ -463,10 +476,10 @@
     gint64 at_ms = FreshnessRelay_mayBeStale(this->relay)
                        ? 0
                        : PeerAge_atMs(message->age_ms);
-    this->feeding = TRUE;
+    this->is_from_peer = TRUE;
     RecordFollower_applyPeerRecords(this->follower, message->from, &page,
                                     at_ms);
-    this->feeding = FALSE;
+    this->is_from_peer = FALSE;
     g_ptr_array_unref(page.records);
 }
 
@@ -495,35 +508,37 @@
     return found;
 }
 
-/* What the store has lost and only routers know. */
+/* Sends records that the store has lost and only routers still have. */
 static void
-answer_apart(const RouteSync_t *this, Member_t *from, StorePosition_t known)
+send_lost_records(const RouteSync_t *this, Member_t *from,
+                  StorePosition_t known)
 {
-    GPtrArray *records = RouteVersions_apart(this->versions, known);
+    GPtrArray *records = RouteVersions_listLost(this->versions, known);
     if (records->len > 0) {
         RecordRelay_sendLostRecords(this->records, from, records);
     }
     g_ptr_array_unref(records);
 }
 
-/* Who knows no more says nothing: the asker asks another one. */
+/* A router that knows no more sends no answer; the requester queries another
+ * one. */
 void
-RouteSync_answer(RouteSync_t *this, Member_t *from,
-                 const Wt__TopicAsk *message)
+RouteSync_answerQuery(RouteSync_t *this, Member_t *from,
+                      const Wt__TopicAsk *message)
 {
-    StorePosition_t from_there = {message->epoch, message->from};
+    StorePosition_t requested_from = {message->epoch, message->from};
     StorePosition_t known = RecordFollower_position(this->follower);
     gint64 now_ms = Clock_nowMs();
     gint64 age_ms = RouteTable_ageMs(this->spec.routes, now_ms);
     if (message->version > 0 &&
         message->version < RouteVersions_inForce(this->versions)) {
-        answer_apart(this, from, from_there);
+        send_lost_records(this, from, requested_from);
     }
-    if (known.epoch != from_there.epoch || known.offset <= message->from ||
+    if (known.epoch != requested_from.epoch || known.offset <= message->from ||
         age_ms == G_MAXINT64) {
         return;
     }
-    GPtrArray *records = newest_from(this, from_there);
+    GPtrArray *records = newest_from(this, requested_from);
     RecordRelay_sendAnswer(this->records, from, message->from, records, known,
                            now_ms - age_ms);
     g_ptr_array_unref(records);
--- a/src/RouteSync.h
+++ b/src/RouteSync.h
@@ -3,16 +3,17 @@
 /**
  * DOC: RouteSync
  *
- * Follows the operators' records on the platform's store: the whole
- * configuration and the named versions of weights.
+ * Follows the operators' records in the platform's store: the complete
+ * configuration and the current versions of weights.
  *
- * Load pattern: hundreds of routers must know of each record within seconds,
- * and that there is no newer one. A call of each router for each record, and
- * its retries while the store is down, would be most of what the store
- * serves. A few readers ask it; the others get short records from them at
- * once and ask a peer for long ones. The store is asked by a router that is
- * behind or untold for longer than that takes, so that neither readers that
- * are gone nor peers that are silent keep it from what is in force.
+ * Load pattern: hundreds of routers must learn of each record within seconds,
+ * and must know that there is no newer one. If each router called the store
+ * for each record, and retried while the store is down, these calls would be
+ * most of what the store serves. A few routers, the readers, read from the
+ * store. They broadcast short records to the other routers; a long record is
+ * queried from a peer. A router calls the store itself if it stays behind its
+ * peers or gets no updates for longer than that takes, so that neither
+ * departed readers nor silent peers keep it from the configuration in force.
  */
 #include "Membership.h"
 #include "ModelVersions.h"
@@ -21,20 +22,21 @@
 #include "StoreEpoch.h"
 
 /**
- * struct RouteSyncSpec_t - what it needs; all must outlive it
- * @source: of the records
- * @form: of the platform
- * @routes: gets each newer configuration
- * @weights: gets each newer version
- * @membership: through which routers share how fresh it is
- * @reader_wait_ms: how long the store may hold a read of a router that asks
- *     for the others: bounds how old the knowledge that a configuration is
- *     the newest gets
- * @epoch: of the store
- * @is_alone: no other routers are to be found
- * @counters: for calls to the store
- * @wait_ms: so long after the last word of peers all others ask the store
- * @unknown_age_ms: age that is assumed of versions named before the start
+ * struct RouteSyncSpec_t - dependencies and timing; all must outlive it
+ * @source: source of the records
+ * @form: form of the platform
+ * @routes: receives each newer configuration
+ * @weights: receives each newer version of weights
+ * @membership: peers that share how recent their knowledge is
+ * @epoch: epoch of the store
+ * @is_alone: no other routers are expected
+ * @counters: counts calls to the store
+ * @reader_wait_ms: how long the store may hold a read of a reader; limits the
+ *     age of the knowledge that a configuration is the newest
+ * @wait_ms: how long after the last update from a peer a router that is not a
+ *     reader reads from the store
+ * @unknown_age_ms: age assumed for versions of weights that were set before
+ *     the start
  */
 typedef struct {
     RecordSource_t *source;
@@ -53,33 +55,39 @@
 /** struct RouteSync_t - opaque */
 typedef struct RouteSync RouteSync_t;
 
-/** RouteSync_create() - start to follow */
+/** RouteSync_create() - start to follow the records */
 RouteSync_t *RouteSync_create(struct event_base *base,
                               const RouteSyncSpec_t *spec);
 
-/** RouteSync_take() - a peer tells how fresh its knowledge is */
-void RouteSync_take(RouteSync_t *this, Member_t *from,
-                    const Wt__ConfigCurrent *message);
+/** RouteSync_receiveCurrent() - receive from a peer the end of the topic, the
+ * age of that knowledge and the peer's configuration version */
+void RouteSync_receiveCurrent(RouteSync_t *this, Member_t *from,
+                              const Wt__ConfigCurrent *message);
 
-/** RouteSync_introduce() - a router was linked just now */
-void RouteSync_introduce(RouteSync_t *this, Member_t *member);
+/** RouteSync_syncPeer() - send the current state to a peer that just
+ * connected */
+void RouteSync_syncPeer(RouteSync_t *this, Member_t *member);
 
-/** RouteSync_takePart() - a peer tells records */
-void RouteSync_takePart(RouteSync_t *this, const Wt__TopicPart *message);
+/** RouteSync_receivePart() - receive records from a peer */
+void RouteSync_receivePart(RouteSync_t *this, const Wt__TopicPart *message);
 
-/** RouteSync_answer() - a peer asks for records */
-void RouteSync_answer(RouteSync_t *this, Member_t *from,
-                      const Wt__TopicAsk *message);
+/** RouteSync_answerQuery() - answer a peer's query for records from an offset
+ * on; no answer is sent if nothing more is known here */
+void RouteSync_answerQuery(RouteSync_t *this, Member_t *from,
+                           const Wt__TopicAsk *message);
 
-/** RouteSync_takeAsk() - a peer that starts asks for all records */
-void RouteSync_takeAsk(RouteSync_t *this, Member_t *from,
-                       const Wt__ListAsk *ask);
+/** RouteSync_answerListQuery() - answer the query of a starting peer for a
+ * page of all records */
+void RouteSync_answerListQuery(RouteSync_t *this, Member_t *from,
+                               const Wt__ListAsk *ask);
 
-/** RouteSync_takePage() - a peer tells records that it was asked for */
-void RouteSync_takePage(RouteSync_t *this, Member_t *from,
-                        const Wt__ListPage *page);
+/** RouteSync_receiveListPage() - receive a page that answers a list query of
+ * this router */
+void RouteSync_receiveListPage(RouteSync_t *this, Member_t *from,
+                               const Wt__ListPage *page);
 
-/** RouteSync_setWaits() - for the reads from now on, as for create */
+/** RouteSync_setWaits() - change @reader_wait_ms and @wait_ms for the next
+ * reads */
 void RouteSync_setWaits(RouteSync_t *this, gint64 reader_wait_ms,
                         gint64 wait_ms);
 
--- a/src/RouteTable.c
+++ b/src/RouteTable.c
@@ -4,7 +4,7 @@
 
 struct RouteTable {
     RouteConfig_t *config;
-    gint64 current_ms; /* 0 for never */
+    gint64 current_ms; /* when config was last known to be the newest, or 0 */
 };
 
 RouteTable_t *
@@ -23,7 +23,7 @@
 }
 
 gboolean
-RouteTable_take(RouteTable_t *this, RouteConfig_t *config)
+RouteTable_update(RouteTable_t *this, RouteConfig_t *config)
 {
     if (this->config && config->version <= this->config->version) {
         RouteConfig_unref(config);
--- a/src/RouteTable.h
+++ b/src/RouteTable.h
@@ -3,48 +3,49 @@
 /**
  * DOC: RouteTable
  *
- * The version of the routes in force here, and how fresh the knowledge is
- * that no newer one exists. It never goes back to an older version. A
- * request with a key is let in only while that knowledge is fresh, since a
- * key may have been revoked in the meantime.
+ * The version of the routes that this router has in force, and the age of the
+ * knowledge that no newer version exists. The table never returns to an older
+ * version. A request with a key is admitted only while that knowledge is
+ * fresh, as the key may have been revoked since.
  */
 #include "RouteConfig.h"
 
 /** struct RouteTable_t - opaque */
 typedef struct RouteTable RouteTable_t;
 
-/** RouteTable_create() - no version yet */
+/** RouteTable_create() - create a table without a version */
 RouteTable_t *RouteTable_create(void);
 
-/** RouteTable_destroy() - drop its version */
+/** RouteTable_destroy() - free the table and drop its reference */
 void RouteTable_destroy(RouteTable_t *this);
 
 /**
- * RouteTable_take() - a version was read
- * @config: its reference is taken over
+ * RouteTable_update() - put a version in force if it is newer
+ * @config: the table takes ownership of the reference
  *
- * Return: whether it is in force now; an older or equal one is dropped
+ * Return: TRUE if @config is in force now; an older or equal version is
+ * dropped
  */
-gboolean RouteTable_take(RouteTable_t *this, RouteConfig_t *config);
+gboolean RouteTable_update(RouteTable_t *this, RouteConfig_t *config);
 
 /**
- * RouteTable_noteCurrent() - no newer version existed at a time
- * @at_ms: monotonic
+ * RouteTable_noteCurrent() - note that no newer version existed at @at_ms
+ * @at_ms: monotonic time
  */
 void RouteTable_noteCurrent(RouteTable_t *this, gint64 at_ms);
 
 /** RouteTable_config() - the version in force, or NULL */
 RouteConfig_t *RouteTable_config(const RouteTable_t *this);
 
-/** RouteTable_ageMs() - how long ago the version was known to be the newest;
- * G_MAXINT64 where it never was */
+/** RouteTable_ageMs() - time since the version was known to be the newest;
+ * G_MAXINT64 if it never was */
 gint64 RouteTable_ageMs(const RouteTable_t *this, gint64 now_ms);
 
-/** RouteTable_describe() - for logs and refusals: which version is in force
- * and how long ago it was known to be the newest; the caller frees it */
+/** RouteTable_describe() - the version in force and its age, as a sentence for
+ * logs and refusals; freed by the caller */
 char *RouteTable_describe(const RouteTable_t *this);
 
-/** RouteTable_isFresh() - whether it is no longer ago than that */
+/** RouteTable_isFresh() - whether RouteTable_ageMs() is at most @max_age_ms */
 gboolean RouteTable_isFresh(const RouteTable_t *this, gint64 max_age_ms);
 
 #endif
--- a/src/RouteVersions.c
+++ b/src/RouteVersions.c
@@ -5,31 +5,31 @@
 #include "Clock.h"
 #include "Log.h"
 
-/* How long a router that starts waits for the word of a peer. Links come up
- * within some 20 ms of a start, and callers' connections wait for longer in
- * the kernel's queue (AcceptHold.h). */
-#define PEERS_WAIT_MS 150
+/* How long a starting router waits for the version of a peer. Links are
+ * connected within some 20 ms of the start, and callers' connections wait
+ * longer than this timeout in the kernel's queue (AcceptHold.h). */
+#define PEER_WAIT_MS 150
 
 typedef struct {
     KeyedRecord_t *record;
     guint64 version;
-} Newest_t;
+} VersionedRecord_t;
 
 struct RouteVersions {
     RouteVersionsSpec_t spec;
-    GHashTable *newest; /* key -> Newest_t */
-    RouteConfig_t
-        *waiting; /* the first one, until peers were heard; or NULL */
-    struct event *peers_over;
-    guint64 told;      /* newest that a peer has in force */
-    gint64 current_ms; /* when the records were last known to end, or 0 */
-    gboolean heard;    /* peers, or there are none */
+    GHashTable *newest; /* key -> VersionedRecord_t */
+    /* The first configuration, until is_wait_over; or NULL */
+    RouteConfig_t *pending;
+    struct event *peer_timeout;
+    guint64 peer_version;  /* highest version that a peer has in force */
+    gint64 current_ms;     /* when all records were last known, or 0 */
+    gboolean is_wait_over; /* a peer sent its version, or none is waited for */
 };
 
 static void
-free_newest(gpointer data)
+free_versioned_record(gpointer data)
 {
-    Newest_t *newest = data;
+    VersionedRecord_t *newest = data;
     KeyedRecord_free(newest->record);
     g_free(newest);
 }
@@ -48,7 +48,7 @@
 static void
 put_in_force(RouteVersions_t *this, RouteConfig_t *config)
 {
-    if (RouteTable_take(this->spec.routes, config)) {
+    if (RouteTable_update(this->spec.routes, config)) {
         log_in_force(config);
     }
     if (!RouteVersions_isBehind(this) && this->current_ms > 0) {
@@ -57,10 +57,11 @@
 }
 
 static void
-begin_serving(RouteVersions_t *this)
+promote_pending(RouteVersions_t *this)
 {
-    if (this->waiting && this->heard && this->waiting->version >= this->told) {
-        put_in_force(this, g_steal_pointer(&this->waiting));
+    if (this->pending && this->is_wait_over &&
+        this->pending->version >= this->peer_version) {
+        put_in_force(this, g_steal_pointer(&this->pending));
     }
 }
 
@@ -69,27 +70,27 @@
 {
     Log_begin(LOG_LEVEL_INFO, "config_waits_for_peers");
     Log_number("version", (gint64)version);
-    Log_number("told", (gint64)this->told);
+    Log_number("told", (gint64)this->peer_version);
     Log_end();
 }
 
 static void
-wait_for_peers(RouteVersions_t *this, RouteConfig_t *config)
+set_pending(RouteVersions_t *this, RouteConfig_t *config)
 {
     log_waiting(this, config->version);
-    g_clear_pointer(&this->waiting, RouteConfig_unref);
-    this->waiting = config;
-    begin_serving(this);
+    g_clear_pointer(&this->pending, RouteConfig_unref);
+    this->pending = config;
+    promote_pending(this);
 }
 
 static void
-on_peers_over(evutil_socket_t fd, short what, void *data)
+on_peer_timeout(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
     RouteVersions_t *this = data;
-    this->heard = TRUE;
-    begin_serving(this);
+    this->is_wait_over = TRUE;
+    promote_pending(this);
 }
 
 RouteVersions_t *
@@ -97,29 +98,30 @@
 {
     RouteVersions_t *this = g_new0(RouteVersions_t, 1);
     this->spec = *spec;
-    this->newest =
-        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_newest);
-    this->heard = spec->is_alone;
-    this->peers_over = Clock_timer(base, on_peers_over, this);
-    Clock_arm(this->peers_over, PEERS_WAIT_MS);
+    this->newest = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+                                         free_versioned_record);
+    this->is_wait_over = spec->is_alone;
+    this->peer_timeout = Clock_timer(base, on_peer_timeout, this);
+    Clock_arm(this->peer_timeout, PEER_WAIT_MS);
     return this;
 }
 
 void
 RouteVersions_destroy(RouteVersions_t *this)
 {
-    event_free(this->peers_over);
-    g_clear_pointer(&this->waiting, RouteConfig_unref);
+    event_free(this->peer_timeout);
+    g_clear_pointer(&this->pending, RouteConfig_unref);
     g_hash_table_destroy(this->newest);
     g_free(this);
 }
 
-/* The same version is kept anew, as its record may stand elsewhere now. */
+/* A record with the same version replaces the stored one if its position is
+ * not lower, as the operators may have written it again. */
 static gboolean
-keep_newest(RouteVersions_t *this, const KeyedRecord_t *record,
-            guint64 version)
+store_if_newest(RouteVersions_t *this, const KeyedRecord_t *record,
+                guint64 version)
 {
-    const Newest_t *known =
+    const VersionedRecord_t *known =
         g_hash_table_lookup(this->newest, record->key->str);
     if (known && version < known->version) {
         return FALSE;
@@ -129,7 +131,7 @@
         return FALSE;
     }
     gboolean is_newer = !known || version > known->version;
-    Newest_t *newest = g_new0(Newest_t, 1);
+    VersionedRecord_t *newest = g_new0(VersionedRecord_t, 1);
     newest->version = version;
     newest->record =
         KeyedRecord_create(record->key->str, record->key->len,
@@ -139,7 +141,7 @@
 }
 
 static void
-log_passed_over(guint64 version)
+log_ignored(guint64 version)
 {
     Log_begin(LOG_LEVEL_INFO, "config_passed_over");
     Log_number("version", (gint64)version);
@@ -147,7 +149,7 @@
 }
 
 static void
-take_config(RouteVersions_t *this, const KeyedRecord_t *record)
+apply_config(RouteVersions_t *this, const KeyedRecord_t *record)
 {
     g_autoptr(GError) error = NULL;
     RouteConfig_t *config =
@@ -156,29 +158,29 @@
         Log_error("config_unreadable", error);
         return;
     }
-    if (!keep_newest(this, record, config->version)) {
-        log_passed_over(config->version);
+    if (!store_if_newest(this, record, config->version)) {
+        log_ignored(config->version);
         RouteConfig_unref(config);
     }
     else if (RouteTable_config(this->spec.routes)) {
         put_in_force(this, config);
     }
     else {
-        wait_for_peers(this, config);
+        set_pending(this, config);
     }
 }
 
-/* How long ago a version was named that was there at the start is not known;
- * it is taken for nearly overdue. */
+/* For a version that existed before the start, the time at which it was set is
+ * unknown; unknown_age_ms makes it nearly overdue. */
 static gint64
-named_ms(const RouteVersions_t *this)
+version_named_ms(const RouteVersions_t *this)
 {
     gint64 now_ms = Clock_nowMs();
     return this->current_ms > 0 ? now_ms : now_ms - this->spec.unknown_age_ms;
 }
 
 static void
-take_weights(RouteVersions_t *this, const KeyedRecord_t *record)
+apply_weights(RouteVersions_t *this, const KeyedRecord_t *record)
 {
     GString *model = g_string_new(NULL);
     guint64 version = 0;
@@ -187,9 +189,9 @@
                                          &error)) {
         Log_error("weights_unreadable", error);
     }
-    else if (keep_newest(this, record, version) &&
+    else if (store_if_newest(this, record, version) &&
              ModelVersions_add(this->spec.weights, model->str, version,
-                               named_ms(this))) {
+                               version_named_ms(this))) {
         Log_begin(LOG_LEVEL_INFO, "weights_named");
         Log_text("model", model->str);
         Log_number("version", (gint64)version);
@@ -198,10 +200,10 @@
     g_string_free(model, TRUE);
 }
 
-/* A configuration that was removed stays in force: nothing takes its place.
- */
+/* A removed record has no effect: the configuration stays in force, as nothing
+ * replaces it. */
 void
-RouteVersions_take(RouteVersions_t *this, const KeyedRecord_t *record)
+RouteVersions_apply(RouteVersions_t *this, const KeyedRecord_t *record)
 {
     const PlatformForm_t *form = this->spec.form;
     if (!record->value) {
@@ -210,22 +212,22 @@
         Log_end();
     }
     else if (strcmp(record->key->str, form->config_key) == 0) {
-        take_config(this, record);
+        apply_config(this, record);
     }
     else if (g_str_has_prefix(record->key->str, form->weights_prefix)) {
-        take_weights(this, record);
+        apply_weights(this, record);
     }
 }
 
 void
-RouteVersions_tell(RouteVersions_t *this, guint64 version)
+RouteVersions_notePeerVersion(RouteVersions_t *this, guint64 version)
 {
     if (version == 0) {
         return;
     }
-    this->told = MAX(this->told, version);
-    this->heard = TRUE;
-    begin_serving(this);
+    this->peer_version = MAX(this->peer_version, version);
+    this->is_wait_over = TRUE;
+    promote_pending(this);
 }
 
 void
@@ -240,7 +242,7 @@
 guint64
 RouteVersions_newest(const RouteVersions_t *this)
 {
-    const Newest_t *newest =
+    const VersionedRecord_t *newest =
         g_hash_table_lookup(this->newest, this->spec.form->config_key);
     return newest ? newest->version : 0;
 }
@@ -248,7 +250,7 @@
 gboolean
 RouteVersions_isBehind(const RouteVersions_t *this)
 {
-    return RouteVersions_newest(this) < this->told;
+    return RouteVersions_newest(this) < this->peer_version;
 }
 
 guint64
@@ -259,14 +261,14 @@
 }
 
 GPtrArray *
-RouteVersions_apart(const RouteVersions_t *this, StorePosition_t from)
+RouteVersions_listLost(const RouteVersions_t *this, StorePosition_t from)
 {
     GPtrArray *found = g_ptr_array_new();
     GHashTableIter iter;
     gpointer value = NULL;
     g_hash_table_iter_init(&iter, this->newest);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        KeyedRecord_t *record = ((Newest_t *)value)->record;
+        KeyedRecord_t *record = ((VersionedRecord_t *)value)->record;
         if (record->position.epoch != from.epoch ||
             record->position.offset < from.offset) {
             g_ptr_array_add(found, record);
--- a/src/RouteVersions.h
+++ b/src/RouteVersions.h
@@ -3,16 +3,17 @@
 /**
  * DOC: RouteVersions
  *
- * The newest of the operators' records by what they say: configurations and
- * names of weights have versions that only grow, so that it does not matter
- * where or in which order a record was read. It puts them in force.
+ * Keeps the newest of the operators' records and puts them in force.
+ * Configurations and weights have version numbers that only increase, so the
+ * offset and the order in which records are read do not matter.
  *
- * A store that has come back older shows a configuration that was replaced,
- * until the operators have written the newer one again, and only routers know
- * better. A router that starts then must not serve by it, as a key may have
- * been revoked: its first configuration is in force only once a peer has told
- * which one it has, or none was there to be asked. Who knows that peers have a
- * newer one counts its own as not fresh.
+ * A store that was restored from an older copy returns a configuration that
+ * had been replaced, until the operators write the newer one again; only
+ * routers know the newer one. A router that starts in that time must not serve
+ * with the older one, as a key may have been revoked. Its first configuration
+ * is therefore put in force only after a peer has sent its version, or if no
+ * peer sends one in time. While peers are known to have a newer configuration,
+ * the one in force does not count as fresh.
  */
 #include <event2/event.h>
 
@@ -22,12 +23,13 @@
 #include "RouteTable.h"
 
 /**
- * struct RouteVersionsSpec_t - what it needs; all must outlive it
- * @form: of the platform
- * @routes: gets each newer configuration
- * @weights: gets each newer version
- * @unknown_age_ms: age that is assumed of versions named before the start
- * @is_alone: there are no peers to be asked
+ * struct RouteVersionsSpec_t - dependencies; all must outlive it
+ * @form: form of the platform
+ * @routes: receives each newer configuration
+ * @weights: receives each newer version of weights
+ * @unknown_age_ms: age assumed for versions of weights that were set before
+ *     the start
+ * @is_alone: there are no peers to wait for
  */
 typedef struct {
     const PlatformForm_t *form;
@@ -40,41 +42,45 @@
 /** struct RouteVersions_t - opaque */
 typedef struct RouteVersions RouteVersions_t;
 
-/** RouteVersions_create() - none is known */
+/** RouteVersions_create() - create without any records */
 RouteVersions_t *RouteVersions_create(struct event_base *base,
                                       const RouteVersionsSpec_t *spec);
 
 /** RouteVersions_destroy() - free it */
 void RouteVersions_destroy(RouteVersions_t *this);
 
-/** RouteVersions_take() - a record was read or told */
-void RouteVersions_take(RouteVersions_t *this, const KeyedRecord_t *record);
+/** RouteVersions_apply() - apply a record read from the store or received from
+ * a peer */
+void RouteVersions_apply(RouteVersions_t *this, const KeyedRecord_t *record);
 
-/** RouteVersions_tell() - a peer has this configuration in force */
-void RouteVersions_tell(RouteVersions_t *this, guint64 version);
+/** RouteVersions_notePeerVersion() - note the version of the configuration
+ * that a peer has in force; 0 for none */
+void RouteVersions_notePeerVersion(RouteVersions_t *this, guint64 version);
 
 /**
- * RouteVersions_noteCurrent() - the operators' records ended at a time
- * @at_ms: monotonic; all that was there then was taken
+ * RouteVersions_noteCurrent() - note that all records existing at @at_ms were
+ * applied
+ * @at_ms: monotonic time
  */
 void RouteVersions_noteCurrent(RouteVersions_t *this, gint64 at_ms);
 
 /** RouteVersions_isBehind() - whether peers have a newer configuration */
 gboolean RouteVersions_isBehind(const RouteVersions_t *this);
 
-/** RouteVersions_newest() - version of the newest configuration that was read
- * or told, in force or not; 0 for none */
+/** RouteVersions_newest() - version of the newest configuration applied, in
+ * force or not; 0 for none */
 guint64 RouteVersions_newest(const RouteVersions_t *this);
 
 /** RouteVersions_inForce() - version of the configuration in force, or 0 */
 guint64 RouteVersions_inForce(const RouteVersions_t *this);
 
 /**
- * RouteVersions_apart() - what no read from a place on leads to
+ * RouteVersions_listLost() - list the newest records that a read of the store
+ * from position @from on does not return, as the store has lost them
  *
  * Return: KeyedRecord_t *, which are not freed with the array
  */
-GPtrArray *RouteVersions_apart(const RouteVersions_t *this,
-                               StorePosition_t from);
+GPtrArray *RouteVersions_listLost(const RouteVersions_t *this,
+                                  StorePosition_t from);
 
 #endif
--- a/src/ServiceExchange.c
+++ b/src/ServiceExchange.c
@@ -14,7 +14,7 @@
 
 typedef struct {
     Exchange_t super;
-    struct evhttp_request *request; /* NULL once answered or left */
+    struct evhttp_request *request; /* NULL if answered or the caller left */
     GString *path;
     GString *content_type;
     GString *key;
@@ -38,7 +38,7 @@
 }
 
 static struct evhttp_request *
-let_go(ServiceExchange_t *this)
+detach_request(ServiceExchange_t *this)
 {
     struct evhttp_request *request = this->request;
     struct evhttp_connection *connection =
@@ -50,13 +50,14 @@
     return request;
 }
 
-/* The call goes on, so that its outcome is known and counted. */
+/* The call to the upstream continues, so that its outcome is known and
+ * counted. */
 static void
 on_caller_left(struct evhttp_connection *connection, void *data)
 {
     (void)connection;
     ServiceExchange_t *this = data;
-    struct evhttp_request *request = let_go(this);
+    struct evhttp_request *request = detach_request(this);
     if (!evhttp_request_get_connection(request)) {
         evhttp_send_reply_end(request);
     }
@@ -70,7 +71,8 @@
     this->call = NULL;
 }
 
-/* A call that is cut off here may still run. */
+/* The upstream may still run a call that is cancelled here, so the result is
+ * always TRUE. */
 static gboolean
 drop(Exchange_t *super)
 {
@@ -94,7 +96,7 @@
 {
     ServiceExchange_t *this = (ServiceExchange_t *)super;
     if (this->request) {
-        Http_refuse(let_go(this), super->id->str, notice);
+        Http_refuse(detach_request(this), super->id->str, notice);
     }
 }
 
@@ -109,10 +111,10 @@
 }
 
 static void
-pass_on(ServiceExchange_t *this, const HttpAnswer_t *answer)
+send_answer(ServiceExchange_t *this, const HttpAnswer_t *answer)
 {
     if (this->request) {
-        struct evhttp_request *request = let_go(this);
+        struct evhttp_request *request = detach_request(this);
         struct evkeyvalq *out = evhttp_request_get_output_headers(request);
         copy_header(answer, out, "Content-Type");
         copy_header(answer, out, "Retry-After");
@@ -127,7 +129,7 @@
 }
 
 static AttemptEnd_t
-end_of_error(const GError *error)
+attempt_end_of_error(const GError *error)
 {
     switch (error->code) {
     case WT_ERROR_CONNECT:
@@ -141,7 +143,7 @@
     }
 }
 
-/* What its refusals say of a service is news as well. */
+/* A refusal may announce that the upstream is leaving. */
 static void
 note_refusal(const Exchange_t *super, const EngineRefusal_t *refusal)
 {
@@ -152,7 +154,8 @@
 }
 
 static AttemptEnd_t
-end_of_answer(const ServiceExchange_t *this, const HttpAnswer_t *answer)
+attempt_end_of_answer(const ServiceExchange_t *this,
+                      const HttpAnswer_t *answer)
 {
     const char *attempt = evhttp_find_header(answer->headers, ATTEMPT_HEADER);
     if (g_strcmp0(attempt, this->attempt) != 0) {
@@ -172,8 +175,8 @@
 on_answer(const HttpAnswer_t *answer, const GError *error, void *data)
 {
     ServiceExchange_t *this = data;
-    AttemptEnd_t end =
-        answer ? end_of_answer(this, answer) : end_of_error(error);
+    AttemptEnd_t end = answer ? attempt_end_of_answer(this, answer)
+                              : attempt_end_of_error(error);
     this->call = NULL;
     Upstream_removeWaiter(this->super.upstream, &this->waiter);
     if (answer && end != ATTEMPT_MISMATCH) {
@@ -183,20 +186,21 @@
     }
     Exchange_noteAttemptEnd(&this->super, end);
     if (end == ATTEMPT_COMPLETE) {
-        pass_on(this, answer);
+        send_answer(this, answer);
         return;
     }
     Exchange_recover(&this->super, end, NULL);
 }
 
 static gint64
-timeout_of(const Exchange_t *super)
+call_timeout_ms(const Exchange_t *super)
 {
     const Object_t *service = ConfigStore_find(
         super->context->config, OBJECT_SERVICE, super->target->str);
-    gint64 left = super->deadline_ms - Clock_nowMs();
-    return service ? MIN(left, ((const Service_t *)service->spec)->timeout_ms)
-                   : left;
+    gint64 remaining_ms = super->deadline_ms - Clock_nowMs();
+    return service ? MIN(remaining_ms,
+                         ((const Service_t *)service->spec)->timeout_ms)
+                   : remaining_ms;
 }
 
 static void
@@ -218,7 +222,7 @@
         .path = this->path->str,
         .headers = headers,
         .body = this->body,
-        .timeout_ms = timeout_of(super),
+        .timeout_ms = call_timeout_ms(super),
         .connect_timeout_ms =
             super->context->settings->limits.connect_timeout_ms,
     };
@@ -232,10 +236,10 @@
 choose(Exchange_t *super, Placement_t *placement)
 {
     Policy_t *policy = super->context->service_policy;
-    PlacementConstraints_t terms = ExchangeCapacity_terms(super);
-    Placement_setConstraints(placement, &terms);
+    PlacementConstraints_t constraints = ExchangeCapacity_terms(super);
+    Placement_setConstraints(placement, &constraints);
     Choice_t choice = Policy_choose(policy, placement);
-    if (choice.upstream || !terms.permitted) {
+    if (choice.upstream || !constraints.permitted) {
         return choice;
     }
     ExchangeCapacity_release(super);
--- a/src/ServiceExchange.h
+++ b/src/ServiceExchange.h
@@ -3,9 +3,9 @@
 /**
  * DOC: ServiceExchange
  *
- * The life of one request to a plain service: passed through to one of its
- * upstreams, and to another one only where a repeat is allowed or nothing
- * ran.
+ * Processes one request to a plain service: forwards it to one of the
+ * service's upstreams, and to another one only if the request may be repeated
+ * or did not run.
  */
 #include <event2/http.h>
 
@@ -13,11 +13,11 @@
 
 /**
  * struct ServiceExchangeSpec_t - an admitted request
- * @request: of evhttp; answered by the exchange
+ * @request: request of evhttp; answered by the exchange
  * @id: the request's id
- * @caller: who asks
- * @service: name of the service, declared
- * @path: with its query, as the service sees it
+ * @caller: the caller
+ * @service: name of a declared service
+ * @path: path and query for the upstream
  */
 typedef struct {
     struct evhttp_request *request;
@@ -27,7 +27,8 @@
     const char *path;
 } ServiceExchangeSpec_t;
 
-/** ServiceExchange_start() - take a request on; it always gets an answer */
+/** ServiceExchange_start() - start to process a request; it always gets an
+ * answer */
 void ServiceExchange_start(Context_t *context,
                            const ServiceExchangeSpec_t *spec);
 
--- a/src/SseParser.c
+++ b/src/SseParser.c
@@ -4,7 +4,7 @@
 
 struct SseParser {
     gsize event_max;
-    gsize size; /* bytes of the event so far */
+    gsize size; /* bytes of the current event so far */
     SseEvent_t event;
     void *user;
     GString *id;
@@ -36,21 +36,23 @@
 static gboolean
 end_event(SseParser_t *this)
 {
-    gboolean go_on = TRUE;
+    gboolean should_continue = TRUE;
     if (this->has_data) {
-        go_on = this->event(this->has_id ? this->id->str : NULL,
-                            this->data->str, this->data->len, this->user);
+        should_continue =
+            this->event(this->has_id ? this->id->str : NULL, this->data->str,
+                        this->data->len, this->user);
     }
     this->has_id = FALSE;
     this->has_data = FALSE;
     this->size = 0;
     g_string_truncate(this->data, 0);
-    return go_on;
+    return should_continue;
 }
 
-/* The value of "name: value", or NULL where the line is another field. */
+/* Returns the value of a "name: value" line, or NULL for another field. */
 static const char *
-value_of(const char *line, gsize length, const char *name, gsize name_length)
+field_value(const char *line, gsize length, const char *name,
+            gsize name_length)
 {
     if (length <= name_length || line[name_length] != ':' ||
         memcmp(line, name, name_length) != 0) {
@@ -61,9 +63,9 @@
 }
 
 static void
-take_field(SseParser_t *this, const char *line, gsize length)
+parse_field(SseParser_t *this, const char *line, gsize length)
 {
-    const char *value = value_of(line, length, "data", strlen("data"));
+    const char *value = field_value(line, length, "data", strlen("data"));
     if (value) {
         if (this->has_data) {
             g_string_append_c(this->data, '\n');
@@ -73,7 +75,7 @@
         this->has_data = TRUE;
         return;
     }
-    value = value_of(line, length, "id", strlen("id"));
+    value = field_value(line, length, "id", strlen("id"));
     if (value) {
         g_string_truncate(this->id, 0);
         g_string_append_len(this->id, value, (gssize)(line + length - value));
@@ -82,7 +84,7 @@
 }
 
 static gboolean
-take_line(SseParser_t *this, const char *line, gsize length)
+parse_line(SseParser_t *this, const char *line, gsize length)
 {
     if (length == 0) {
         return end_event(this);
@@ -91,33 +93,39 @@
     if (this->size > this->event_max) {
         return FALSE;
     }
-    take_field(this, line, length);
+    parse_field(this, line, length);
     return TRUE;
 }
 
-/* Takes whole lines where they lie, without a copy of each. */
+/* Parses all complete lines in place, without copying them. Returns the number
+ * of bytes consumed. */
 static gsize
-take_lines(SseParser_t *this, const char *data, gsize length, gboolean *go_on)
+parse_lines(SseParser_t *this, const char *data, gsize length,
+            gboolean *should_continue)
 {
-    gsize done = 0;
+    gsize consumed = 0;
     const char *end = NULL;
-    while (*go_on && (end = memchr(data + done, '\n', length - done))) {
-        gsize size = (gsize)(end - (data + done));
-        gboolean has_return = size > 0 && end[-1] == '\r';
-        *go_on = take_line(this, data + done, size - (has_return ? 1 : 0));
-        done += size + 1;
+    while (*should_continue &&
+           (end = memchr(data + consumed, '\n', length - consumed))) {
+        gsize size = (gsize)(end - (data + consumed));
+        gboolean has_cr = size > 0 && end[-1] == '\r';
+        *should_continue =
+            parse_line(this, data + consumed, size - (has_cr ? 1 : 0));
+        consumed += size + 1;
     }
-    return done;
+    return consumed;
 }
 
 gboolean
 SseParser_feed(SseParser_t *this, struct evbuffer *input)
 {
-    gboolean go_on = TRUE;
+    gboolean should_continue = TRUE;
     gsize length = evbuffer_get_length(input);
     if (length > 0) {
         const char *data = (const char *)evbuffer_pullup(input, -1);
-        evbuffer_drain(input, take_lines(this, data, length, &go_on));
+        evbuffer_drain(input,
+                       parse_lines(this, data, length, &should_continue));
     }
-    return go_on && this->size + evbuffer_get_length(input) <= this->event_max;
+    return should_continue &&
+           this->size + evbuffer_get_length(input) <= this->event_max;
 }
--- a/src/SseParser.h
+++ b/src/SseParser.h
@@ -3,17 +3,17 @@
 /**
  * DOC: SseParser
  *
- * Cuts a stream of server-sent events into its events, as far as engines use
- * them: the fields id and data; others are passed over.
+ * Parses a stream of server-sent events. Only the fields id and data, which
+ * engines use, are read; other fields are ignored.
  */
 #include <event2/buffer.h>
 #include <glib.h>
 
 /**
  * SseEvent_t - called for each event
- * @id: text of its id, or NULL where it has none
- * @data: its data, a NUL behind it
- * @length: bytes of @data
+ * @id: the event's id, or NULL if it has none
+ * @data: the event's data, terminated by NUL
+ * @length: length of @data in bytes
  *
  * Return: FALSE to stop parsing
  */
@@ -24,20 +24,20 @@
 typedef struct SseParser SseParser_t;
 
 /**
- * SseParser_create() - nothing is parsed yet
- * @event_max: most bytes of one event, its lines that are passed over included
+ * SseParser_create() - create a parser
+ * @event_max: maximum size of one event in bytes, including ignored lines
  * @event: called for each event
  */
 SseParser_t *SseParser_create(gsize event_max, SseEvent_t event, void *user);
 
-/** SseParser_destroy() - free it */
+/** SseParser_destroy() - free the parser */
 void SseParser_destroy(SseParser_t *this);
 
 /**
- * SseParser_feed() - parse what has come
- * @input: drained of all whole lines
+ * SseParser_feed() - parse received bytes
+ * @input: received bytes; complete lines are drained
  *
- * Return: FALSE where an event is too large or the callback said stop
+ * Return: FALSE if an event is too large or the callback stopped parsing
  */
 gboolean SseParser_feed(SseParser_t *this, struct evbuffer *input);
 
--- a/src/StreamExchange.c
+++ b/src/StreamExchange.c
@@ -15,20 +15,20 @@
     const EngineWire_t *wire;
     Answer_t *answer;
     Prompt_t *prompt;
-    ResumePoint_t *point; /* of a caller that asks for the rest */
+    ResumePoint_t *resume_point; /* NULL unless the caller resumes a stream */
 
     Placement_t placement;
     Attempt_t *attempt;
-    guint missing_tokens; /* counted in upstream->pending_tokens */
+    guint uncached_tokens; /* counted in upstream->pending_tokens */
     guint expected_cached;
-    gboolean is_resume;  /* the attempt under way asks for a rest */
-    gboolean wants_rest; /* the next one does, once its engine has room */
+    gboolean is_resume;      /* the current attempt resumes a stream */
+    gboolean resume_pending; /* a resume waits for capacity of its engine */
 
     StreamHandle_t stream;
     guint resumes;
 
-    GString *text;       /* tokens that the caller has */
-    guint64 first_token; /* place of the first of them in the whole answer */
+    GString *text;        /* text sent by this exchange, if repeatable */
+    guint64 start_offset; /* tokens that the caller had before */
     guint64 tokens;
     guint prompt_tokens;
     guint cached_tokens;
@@ -42,8 +42,8 @@
     if (this->prompt) {
         Prompt_destroy(this->prompt);
     }
-    if (this->point) {
-        ResumePoint_destroy(this->point);
+    if (this->resume_point) {
+        ResumePoint_destroy(this->resume_point);
     }
     StreamHandle_clear(&this->stream);
     g_string_free(this->text, TRUE);
@@ -52,12 +52,12 @@
 }
 
 static void
-settle_pending(StreamExchange_t *this)
+clear_pending_tokens(StreamExchange_t *this)
 {
     if (this->super.upstream) {
-        this->super.upstream->pending_tokens -= this->missing_tokens;
+        this->super.upstream->pending_tokens -= this->uncached_tokens;
     }
-    this->missing_tokens = 0;
+    this->uncached_tokens = 0;
 }
 
 static gboolean
@@ -69,7 +69,7 @@
         Attempt_cancel(this->attempt);
         this->attempt = NULL;
     }
-    settle_pending(this);
+    clear_pending_tokens(this);
     return sent;
 }
 
@@ -87,11 +87,11 @@
     StreamHandle_cancel(&this->stream, super->context->base, this->wire,
                         super->context->settings->limits.token_timeout_ms);
     StreamHandle_clear(&this->stream);
-    this->wants_rest = FALSE;
+    this->resume_pending = FALSE;
 }
 
 static void
-add_facts(const Exchange_t *super, RecoveryInput_t *facts)
+fill_recovery_facts(const Exchange_t *super, RecoveryInput_t *facts)
 {
     const StreamExchange_t *this = (const StreamExchange_t *)super;
     facts->was_resume = this->is_resume;
@@ -100,8 +100,8 @@
     facts->stream_known = this->stream.upstream != NULL;
     facts->resumes = this->resumes;
     facts->tokens = this->tokens;
-    facts->repeatable = super->repeatable && !this->point;
-    facts->resume_only = this->point != NULL;
+    facts->repeatable = super->repeatable && !this->resume_point;
+    facts->resume_only = this->resume_point != NULL;
 }
 
 static void
@@ -114,8 +114,9 @@
     Log_number("cached_tokens", this->cached_tokens);
 }
 
-/* The engine goes on for a while, so that the caller may resume at any
- * router; a resume there takes the stream away from our cancel. */
+/* The engine continues the stream during the grace period, so that the caller
+ * may resume it at any router. The engine ignores the cancel of this router if
+ * the stream was resumed elsewhere. */
 static void
 on_caller_left(void *owner)
 {
@@ -124,11 +125,11 @@
     if (super->over) {
         return;
     }
-    gboolean may_return =
+    gboolean may_resume =
         this->prompt && this->prompt->stream && this->stream.upstream;
     Exchange_noteCallerLeft(
         super,
-        may_return ? super->context->settings->limits.resume_grace_ms : 0);
+        may_resume ? super->context->settings->limits.resume_grace_ms : 0);
 }
 
 static void
@@ -146,7 +147,7 @@
 };
 
 static void
-seal_token(StreamExchange_t *this)
+set_resume_token(StreamExchange_t *this)
 {
     const Exchange_t *super = &this->super;
     GString *sealed = StreamHandle_seal(
@@ -186,7 +187,7 @@
     Counters_t *counters = super->context->counters;
     note_head(super, head);
     StreamHandle_set(&this->stream, super->upstream, head);
-    seal_token(this);
+    set_resume_token(this);
     if (this->is_resume) {
         return;
     }
@@ -207,7 +208,7 @@
     gint64 passed_us = Clock_nowUs() - super->started_us;
     if (super->attempt_trace->first_token_us == 0) {
         super->attempt_trace->first_token_us = passed_us;
-        settle_pending(this);
+        clear_pending_tokens(this);
     }
     if (this->tokens == 0) {
         Counters_observe(super->context->counters, "first_token_us",
@@ -226,7 +227,7 @@
         g_string_append_len(this->text, token->text, (gssize)token->length);
     }
     Answer_writeToken(this->answer, token->text, token->length, token->finish,
-                      this->first_token + this->tokens);
+                      this->start_offset + this->tokens);
     if (Answer_isFull(this->answer) &&
         !Attempt_isReadingPaused(this->attempt)) {
         Counters_add(this->super.context->counters, "streams_held_total", NULL,
@@ -235,7 +236,8 @@
     }
 }
 
-/* What an engine says of itself as it refuses is news as well. */
+/* A refusal reports the engine's incarnation, and may announce that the engine
+ * is leaving. */
 static void
 note_refusal(const Exchange_t *super, const EngineRefusal_t *refusal)
 {
@@ -263,7 +265,7 @@
         note_refusal(super, refusal);
     }
     this->attempt = NULL;
-    settle_pending(this);
+    clear_pending_tokens(this);
     Exchange_noteAttemptEnd(super, end);
     if (refusal && refusal->incarnation != 0) {
         Exchange_clearAvoided(super);
@@ -275,8 +277,9 @@
     Exchange_recover(super, end, refusal ? refusal->code : NULL);
 }
 
-/* The last attempt is waited for: where the only engine stands still for some
- * seconds, all attempts were spent on it before it went on. */
+/* A silent attempt ends if another attempt is allowed. The last attempt is
+ * continued instead: when the only engine stalled for some seconds, all
+ * attempts were used up before it recovered. */
 static gboolean
 on_silent(void *owner)
 {
@@ -314,7 +317,7 @@
         .wire = this->wire,
         .path = path,
         .body = body,
-        .first_index = this->first_token + this->tokens,
+        .first_index = this->start_offset + this->tokens,
         .event_max = (gsize)limits->event_max,
         .head_max = (gsize)limits->max_header,
         .fresh = !super->repeatable,
@@ -329,9 +332,10 @@
     g_bytes_unref(body);
 }
 
-/* It goes on elsewhere rather than wait for the end of a rest. */
+/* A stream that can be continued on another engine does not wait for the end
+ * of its upstream's backoff. */
 static gboolean
-leaves_resting(const StreamExchange_t *this)
+should_leave_upstream(const StreamExchange_t *this)
 {
     const Upstream_t *upstream = this->stream.upstream;
     return this->super.repeatable && this->prompt &&
@@ -342,63 +346,65 @@
 resume(Exchange_t *super)
 {
     StreamExchange_t *this = (StreamExchange_t *)super;
-    if (leaves_resting(this)) {
+    if (should_leave_upstream(this)) {
         abandon(super);
         Exchange_place(super);
         return;
     }
-    this->wants_rest =
+    this->resume_pending =
         !ExchangeCapacity_acquireSame(super, this->stream.upstream);
-    if (this->wants_rest) {
+    if (this->resume_pending) {
         return;
     }
     this->is_resume = TRUE;
     this->resumes++;
     GBytes *body = this->wire->resume_body(this->stream.stream,
-                                           this->first_token + this->tokens);
+                                           this->start_offset + this->tokens);
     start_attempt(this, this->stream.upstream, this->wire->resume_path, body,
                   "resume");
 }
 
 static void
-start_new_stream(StreamExchange_t *this, const PlacerResult_t *placing)
+start_new_stream(StreamExchange_t *this, const PlacerResult_t *placer_result)
 {
-    const Choice_t *choice = &placing->choice;
-    EngineStreamRequest_t order = {
+    const Choice_t *choice = &placer_result->choice;
+    EngineStreamRequest_t stream_request = {
         .prompt = this->prompt,
-        .salt = placing->salt,
+        .salt = placer_result->salt,
         .priority = this->super.priority,
         .incarnation = choice->upstream->incarnation,
-        .weights = placing->weights,
+        .weights = placer_result->weights,
         .sent_text = this->text,
         .sent_tokens = this->tokens,
     };
-    guint tokens = placing->placement.prompt_tokens;
+    guint tokens = placer_result->placement.prompt_tokens;
     this->is_resume = FALSE;
-    this->placement = placing->placement;
+    this->placement = placer_result->placement;
     this->expected_cached = choice->expected_cached;
-    this->missing_tokens = tokens - MIN(choice->expected_cached, tokens);
-    choice->upstream->pending_tokens += this->missing_tokens;
+    this->uncached_tokens = tokens - MIN(choice->expected_cached, tokens);
+    choice->upstream->pending_tokens += this->uncached_tokens;
     start_attempt(this, choice->upstream, this->wire->start_path(this->prompt),
-                  this->wire->start_body(&order), choice->reason);
+                  this->wire->start_body(&stream_request), choice->reason);
     this->super.attempt_trace->candidates = choice->candidates;
 }
 
-/* FALSE where the model is no longer declared. */
+/* Returns FALSE if the model is no longer declared. */
 static gboolean
-choose(StreamExchange_t *this, PlacerResult_t *placing)
+choose(StreamExchange_t *this, PlacerResult_t *placer_result)
 {
     Exchange_t *super = &this->super;
-    PlacementConstraints_t terms = ExchangeCapacity_terms(super);
-    gboolean is_declared = Placer_place(super->context, this->prompt,
-                                        super->customer->str, &terms, placing);
-    if (!is_declared || placing->choice.upstream || !terms.permitted) {
+    PlacementConstraints_t constraints = ExchangeCapacity_terms(super);
+    gboolean is_declared =
+        Placer_place(super->context, this->prompt, super->customer->str,
+                     &constraints, placer_result);
+    if (!is_declared || placer_result->choice.upstream ||
+        !constraints.permitted) {
         return is_declared;
     }
     ExchangeCapacity_release(super);
-    terms.permitted = NULL;
+    constraints.permitted = NULL;
     return Placer_place(super->context, this->prompt, super->customer->str,
-                        &terms, placing);
+                        &constraints, placer_result);
 }
 
 static void
@@ -406,18 +412,18 @@
 {
     StreamExchange_t *this = (StreamExchange_t *)super;
     RunState_t run = Exchange_runState(super);
-    PlacerResult_t placing;
-    if (this->wants_rest) {
+    PlacerResult_t placer_result;
+    if (this->resume_pending) {
         resume(super);
     }
-    else if (!choose(this, &placing)) {
+    else if (!choose(this, &placer_result)) {
         Exchange_refuse(super, REFUSAL_UNKNOWN_MODEL, run, NULL);
     }
-    else if (!placing.choice.upstream) {
-        ExchangeCapacity_refuse(super, &placing.placement);
+    else if (!placer_result.choice.upstream) {
+        ExchangeCapacity_refuse(super, &placer_result.placement);
     }
-    else if (ExchangeCapacity_acquire(super, placing.choice.upstream)) {
-        start_new_stream(this, &placing);
+    else if (ExchangeCapacity_acquire(super, placer_result.choice.upstream)) {
+        start_new_stream(this, &placer_result);
     }
 }
 
@@ -426,26 +432,26 @@
     .place = place,
     .drop = drop,
     .refuse = refuse,
-    .facts = add_facts,
+    .facts = fill_recovery_facts,
     .resume = resume,
     .abandon = abandon,
     .log_end = log_end,
 };
 
-/* A caller's resume goes to the engine that has the stream, or nowhere. */
+/* A resume by the caller can only use the engine that has the stream. */
 static void
 place_resume(StreamExchange_t *this)
 {
     Exchange_t *super = &this->super;
     Upstream_t *upstream = UpstreamSet_find(super->context->upstreams,
-                                            this->point->upstream->str);
-    if (!upstream || upstream->incarnation > this->point->incarnation) {
+                                            this->resume_point->upstream->str);
+    if (!upstream || upstream->incarnation > this->resume_point->incarnation) {
         Exchange_refuse(super, REFUSAL_RESUME_GONE, RUN_DONE, NULL);
         return;
     }
     super->sent = TRUE;
-    this->first_token = this->point->offset;
-    StreamHandle_restore(&this->stream, upstream, this->point);
+    this->start_offset = this->resume_point->offset;
+    StreamHandle_restore(&this->stream, upstream, this->resume_point);
     resume(super);
 }
 
@@ -473,14 +479,15 @@
     Exchange_init(&this->super, &class, context, &base);
     this->wire = &EngineHttp_wire;
     this->prompt = spec->prompt;
-    this->point = spec->resume;
+    this->resume_point = spec->resume;
     this->text = g_string_new(NULL);
     return this;
 }
 
-/* A resume is no second request: its tokens were counted at the start. */
+/* Only for new requests: the tokens of a resumed one were charged when it
+ * started. */
 static RateRequest_t
-rate_of(const StreamExchange_t *this, const StreamExchangeSpec_t *spec)
+rate_request(const StreamExchange_t *this, const StreamExchangeSpec_t *spec)
 {
     double tokens =
         (double)Prompt_tokens(this->prompt) + (double)this->prompt->max_tokens;
@@ -492,7 +499,7 @@
 StreamExchange_start(Context_t *context, const StreamExchangeSpec_t *spec)
 {
     StreamExchange_t *this = create(context, spec);
-    AnswerSpec_t form = {
+    AnswerSpec_t answer_spec = {
         .request = spec->request,
         .chat = spec->chat,
         .stream = !spec->prompt || spec->prompt->stream,
@@ -501,13 +508,14 @@
         .buffer_max = (gsize)context->settings->limits.stream_buffer,
         .deferred_calls = context->deferred_calls,
     };
-    this->answer = Answer_create(context->base, &form, &answer_events, this);
+    this->answer =
+        Answer_create(context->base, &answer_spec, &answer_events, this);
     Exchange_begin(&this->super);
-    if (this->point) {
+    if (this->resume_point) {
         place_resume(this);
     }
     else {
-        RateRequest_t rate = rate_of(this, spec);
+        RateRequest_t rate = rate_request(this, spec);
         Exchange_admit(&this->super, &rate, spec->caller->key);
     }
 }
--- a/src/StreamExchange.h
+++ b/src/StreamExchange.h
@@ -3,9 +3,10 @@
 /**
  * DOC: StreamExchange
  *
- * The form of a model request that is answered token by token: an attempt is
- * an engine's stream, and a broken one is resumed at the same engine or goes
- * on at another with the text so far as its prefix.
+ * Processes one model request whose answer arrives token by token. Each
+ * attempt reads a stream of an engine. A broken stream is resumed at the same
+ * engine, or continued on another engine with the text received so far as the
+ * prefix of its answer.
  */
 #include <event2/http.h>
 
@@ -15,12 +16,12 @@
 
 /**
  * struct StreamExchangeSpec_t - an admitted request
- * @request: of evhttp; answered by the exchange
+ * @request: request of evhttp; answered by the exchange
  * @id: the request's id
- * @caller: who asks
- * @chat: asked as a chat
- * @prompt: taken over; NULL for a resume without a body
- * @resume: taken over; NULL unless the caller resumes a stream
+ * @caller: the caller
+ * @chat: chat completion; text completion if FALSE
+ * @prompt: owned by the exchange; NULL for a resume, which has no body
+ * @resume: owned by the exchange; NULL unless the caller resumes a stream
  */
 typedef struct {
     struct evhttp_request *request;
@@ -31,7 +32,8 @@
     ResumePoint_t *resume;
 } StreamExchangeSpec_t;
 
-/** StreamExchange_start() - take a request on; it always gets an answer */
+/** StreamExchange_start() - start to process a request; it always gets an
+ * answer */
 void StreamExchange_start(Context_t *context,
                           const StreamExchangeSpec_t *spec);
 
--- a/src/StreamHandle.h
+++ b/src/StreamHandle.h
@@ -3,8 +3,8 @@
 /**
  * DOC: StreamHandle
  *
- * Which engine has a stream and what it calls it: all that is needed to ask
- * for the rest of it, to end it, or to let a caller hold on to it.
+ * Identifies a stream at an engine: what is needed to request the remainder of
+ * the stream, to cancel it, or to create its resume token.
  */
 #include <event2/event.h>
 #include <glib.h>
@@ -16,9 +16,9 @@
 /**
  * struct StreamHandle_t - plain, so that it can be embedded
  * @upstream: engine that has the stream, NULL for none
- * @incarnation: of the engine
- * @stream: the engine's id of it
- * @attempt: the last of ours that came to read it
+ * @incarnation: incarnation of the engine
+ * @stream: the engine's id of the stream
+ * @attempt: id of the last attempt of this exchange that read the stream
  */
 typedef struct {
     Upstream_t *upstream;
@@ -27,27 +27,30 @@
     char attempt[STREAM_ID_MAX + 1];
 } StreamHandle_t;
 
-/** StreamHandle_set() - an engine answered an attempt with a stream */
+/** StreamHandle_set() - store the stream with which an engine answered an
+ * attempt */
 void StreamHandle_set(StreamHandle_t *this, Upstream_t *upstream,
                       const EngineHead_t *head);
 
-/** StreamHandle_restore() - what a resume token says; @upstream has it */
+/** StreamHandle_restore() - store the stream of a resume token, which
+ * @upstream has */
 void StreamHandle_restore(StreamHandle_t *this, Upstream_t *upstream,
                           const ResumePoint_t *point);
 
-/** StreamHandle_clear() - no stream any more */
+/** StreamHandle_clear() - forget the stream */
 void StreamHandle_clear(StreamHandle_t *this);
 
 /**
- * StreamHandle_cancel() - ask the engine to end it
+ * StreamHandle_cancel() - send the engine a request to cancel the stream
  *
- * The engine drops the order if another attempt has come to read since.
+ * The engine ignores it if another attempt has started to read the stream
+ * since.
  */
 void StreamHandle_cancel(const StreamHandle_t *this, struct event_base *base,
                          const EngineWire_t *wire, gint64 timeout_ms);
 
 /**
- * StreamHandle_seal() - the sealed part of its resume token
+ * StreamHandle_seal() - create the sealed part of the stream's resume token
  * @request: id of the caller's request
  *
  * Return: a new string
--- a/tests/fuzz/FakeHttp.c
+++ b/tests/fuzz/FakeHttp.c
@@ -37,7 +37,7 @@
 }
 
 void
-Http_noDelay(struct evhttp_connection *connection)
+Http_setNoDelay(struct evhttp_connection *connection)
 {
     (void)connection;
 }
--- a/tests/fuzz/streams.c
+++ b/tests/fuzz/streams.c
@@ -55,7 +55,7 @@
 {
     Piped_t this = {EventPipe_create(event_max), evbuffer_new(), 0};
     feed_cut(data, size, cut, feed_pipe, &this);
-    g_assert_cmpuint(this.count, ==, EventPipe_passed(this.pipe));
+    g_assert_cmpuint(this.count, ==, EventPipe_countPassed(this.pipe));
     return this;
 }
 
@@ -75,7 +75,7 @@
     g_assert_cmpuint(passed, <=, size);
     g_assert(passed == 0 || data[passed - 1] == '\n');
     evbuffer_add(rest, data + passed, size - passed);
-    g_assert(EventPipe_firstLength(rest) == 0);
+    g_assert(EventPipe_firstEventLength(rest) == 0);
     evbuffer_free(rest);
 }
 
@@ -85,8 +85,8 @@
 {
     Piped_t whole = pipe_cut(data, size, 0, SMALL_EVENT_MAX);
     Piped_t pieces = pipe_cut(data, size, cut, SMALL_EVENT_MAX);
-    g_assert_cmpint(EventPipe_isOverfull(whole.pipe), ==,
-                    EventPipe_isOverfull(pieces.pipe));
+    g_assert_cmpint(EventPipe_isEventTooLarge(whole.pipe), ==,
+                    EventPipe_isEventTooLarge(pieces.pipe));
     g_assert_cmpuint(whole.count, ==, pieces.count);
     clear_piped(&whole);
     clear_piped(&pieces);
--- a/tests/test_ResumeToken.c
+++ b/tests/test_ResumeToken.c
@@ -4,7 +4,7 @@
 #include "ResumeToken.h"
 
 static GBytes *
-key_of(guint8 byte)
+make_key(guint8 byte)
 {
     guint8 bytes[32];
     for (gsize i = 0; i < sizeof(bytes); i++) {
@@ -14,7 +14,7 @@
 }
 
 static GString *
-token(GBytes *key)
+make_token(GBytes *key)
 {
     ResumePoint_t *point = ResumePoint_create();
     g_string_assign(point->customer, "acme");
@@ -31,8 +31,8 @@
 
 START_TEST(token_opens_to_what_was_sealed)
 {
-    GBytes *key = key_of(1);
-    GString *text = token(key);
+    GBytes *key = make_key(1);
+    GString *text = make_token(key);
     ResumePoint_t *point = ResumeToken_open(text->str, key, NULL);
     ck_assert_ptr_nonnull(point);
     ck_assert_str_eq(point->customer->str, "acme");
@@ -54,26 +54,26 @@
     ck_assert(g_error_matches(error, WT_ERROR, WT_ERROR_BAD_TOKEN));
 }
 
-START_TEST(each_changed_character_is_noticed)
+START_TEST(change_of_any_character_is_detected)
 {
-    GBytes *key = key_of(1);
-    GString *text = token(key);
+    GBytes *key = make_key(1);
+    GString *text = make_token(key);
     for (gsize i = 0; i + 3 < text->len; i++) {
-        char kept = text->str[i];
-        text->str[i] = kept == 'A' ? 'B' : 'A';
+        char original = text->str[i];
+        text->str[i] = original == 'A' ? 'B' : 'A';
         assert_refused(text->str, key);
-        text->str[i] = kept;
+        text->str[i] = original;
     }
     g_string_free(text, TRUE);
     g_bytes_unref(key);
 }
 END_TEST
 
-START_TEST(other_keys_and_other_texts_are_refused)
+START_TEST(wrong_key_or_malformed_token_is_refused)
 {
-    GBytes *key = key_of(1);
-    GBytes *other = key_of(2);
-    GString *text = token(key);
+    GBytes *key = make_key(1);
+    GBytes *other = make_key(2);
+    GString *text = make_token(key);
     assert_refused(text->str, other);
     assert_refused("", key);
     assert_refused(".5", key);
@@ -92,5 +92,5 @@
 END_TEST
 
 TESTING_MAIN("ResumeToken", token_opens_to_what_was_sealed,
-             each_changed_character_is_noticed,
-             other_keys_and_other_texts_are_refused)
+             change_of_any_character_is_detected,
+             wrong_key_or_malformed_token_is_refused)
--- a/tests/test_RouteConfig.c
+++ b/tests/test_RouteConfig.c
@@ -11,7 +11,7 @@
     return route;
 }
 
-START_TEST(longest_prefix_of_the_host_counts)
+START_TEST(longest_matching_prefix_of_the_host_wins)
 {
     RouteConfig_t *config = RouteConfig_create(1);
     const Route_t *root = add_route(config, "a.example", "/");
@@ -43,7 +43,7 @@
 }
 END_TEST
 
-START_TEST(keys_name_customers)
+START_TEST(key_identifies_its_customer)
 {
     RouteConfig_t *config = RouteConfig_create(1);
     RouteCustomer_t *customer = RouteConfig_addCustomer(config, "c");
@@ -54,19 +54,19 @@
 }
 END_TEST
 
-START_TEST(a_table_never_goes_back)
+START_TEST(table_ignores_older_versions)
 {
     RouteTable_t *table = RouteTable_create();
-    ck_assert(RouteTable_take(table, RouteConfig_create(7)));
-    ck_assert(!RouteTable_take(table, RouteConfig_create(7)));
-    ck_assert(!RouteTable_take(table, RouteConfig_create(3)));
+    ck_assert(RouteTable_update(table, RouteConfig_create(7)));
+    ck_assert(!RouteTable_update(table, RouteConfig_create(7)));
+    ck_assert(!RouteTable_update(table, RouteConfig_create(3)));
     ck_assert_uint_eq(RouteTable_config(table)->version, 7);
-    ck_assert(RouteTable_take(table, RouteConfig_create(8)));
+    ck_assert(RouteTable_update(table, RouteConfig_create(8)));
     RouteTable_destroy(table);
 }
 END_TEST
 
-START_TEST(freshness_only_rises)
+START_TEST(current_time_never_decreases)
 {
     RouteTable_t *table = RouteTable_create();
     ck_assert_int_eq(RouteTable_ageMs(table, 100), G_MAXINT64);
@@ -77,19 +77,19 @@
 }
 END_TEST
 
-START_TEST(a_request_keeps_its_version)
+START_TEST(reference_keeps_a_replaced_version)
 {
     RouteTable_t *table = RouteTable_create();
-    RouteTable_take(table, RouteConfig_create(1));
-    RouteConfig_t *kept = RouteConfig_ref(RouteTable_config(table));
-    RouteTable_take(table, RouteConfig_create(2));
-    ck_assert_uint_eq(kept->version, 1);
-    RouteConfig_unref(kept);
+    RouteTable_update(table, RouteConfig_create(1));
+    RouteConfig_t *held = RouteConfig_ref(RouteTable_config(table));
+    RouteTable_update(table, RouteConfig_create(2));
+    ck_assert_uint_eq(held->version, 1);
+    RouteConfig_unref(held);
     RouteTable_destroy(table);
 }
 END_TEST
 
-TESTING_MAIN("RouteConfig", longest_prefix_of_the_host_counts,
-             weights_split_requests, keys_name_customers,
-             a_table_never_goes_back, freshness_only_rises,
-             a_request_keeps_its_version)
+TESTING_MAIN("RouteConfig", longest_matching_prefix_of_the_host_wins,
+             weights_split_requests, key_identifies_its_customer,
+             table_ignores_older_versions, current_time_never_decreases,
+             reference_keeps_a_replaced_version)
--- a/tests/test_RouteSync.c
+++ b/tests/test_RouteSync.c
@@ -13,30 +13,31 @@
 #define WEIGHTS_KEY "version/m"
 #define MODEL "m"
 #define MESH 16
-/* Age of versions that were named before the start. */
+/* Age assumed for versions of weights that were set before the start. */
 #define UNKNOWN_AGE_MS 5000
-/* Waits that no test sees the end of. */
+/* Longer than any test runs. */
 #define READER_WAIT_MS 100000
 #define WAIT_MS 200000
-/* Longer than a router waits before it asks for what peers know. */
-#define ASK_OVER_MS 500
-/* What it takes until a router that is told nothing asks for itself. */
-#define UNTOLD_MS 1800
-/* Routers that ask the store often, and enough for some that do not. */
+/* Longer than BEHIND_CHECK_INTERVAL_MS. */
+#define CHECK_INTERVAL_MS 500
+/* Time without updates from peers after which a router checks the store. */
+#define UPDATE_TIMEOUT_MS 1800
+/* Number of readers, and of routers in tests that need non-readers as well. */
 #define READERS 3
-#define MANY 6
-/* Longer than a call that is not made takes to be made. */
-#define QUIET_MS 700
-/* What it takes until peers that do not answer are given up. */
-#define BEHIND_MOST_MS 600
-/* In which a router that is told nothing would ask three times, if it did not
- * leave more time to a store that fails. */
+#define ROUTERS 6
+/* Long enough for an unexpected call or message to occur. */
+#define IDLE_MS 700
+/* Time after which a router that is behind checks the store, if no peer
+ * answers. */
+#define PEER_CATCH_UP_TIMEOUT_MS 600
+/* Duration in which a router without updates would check a failing store three
+ * times if the interval did not grow. */
 #define OUTAGE_MS 4600
-#define OUTAGE_ASKS_MOST 2
-/* More than is added to the age of what a peer tells. */
-#define NEWS_AFTER_MS (PEER_TRANSIT_MAX_MS + 150)
+#define OUTAGE_CHECKS_MAX 2
+/* More than the time that is added to the age in a peer's message. */
+#define AFTER_TRANSIT_MS (PEER_TRANSIT_MAX_MS + 150)
 
-/* One call to the store that a test has not answered. */
+/* One open call to the store. */
 typedef struct {
     gboolean list;
     guint64 from;
@@ -45,7 +46,7 @@
     void *data;
 } Call_t;
 
-/* Unlike FakeSource, several calls may be open, and end in any order. */
+/* Unlike with FakeSource, several calls may be open and end in any order. */
 typedef struct {
     RecordSource_t super;
     GArray *open; /* Call_t */
@@ -58,7 +59,7 @@
 static ModelVersions_t *weights;
 static RouteSync_t *route_sync;
 static StoreEpoch_t *epoch;
-static guint self; /* the router whose part is tested */
+static guint self; /* index of the router under test */
 
 static void
 add_call(gboolean list, guint64 from, gint64 wait_ms, KeyedPageDone_t done,
@@ -90,7 +91,7 @@
 
 static const RecordSourceClass_t class = {.list = list, .read = read_from};
 
-/* A configuration's value is its version in digits. */
+/* The value of a configuration record is its version in decimal digits. */
 static RouteConfig_t *
 decode_config(GBytes *value, GError **error)
 {
@@ -126,18 +127,18 @@
 };
 
 static gboolean
-reads_for_others(guint which)
+is_reader(guint which)
 {
     return Membership_localRank(routers.list[which].membership, "freshness",
                                 NULL) < READERS;
 }
 
-/* A router that reads for others, or one that they read for. */
+/* Returns the index of the first reader or of the first non-reader. */
 static guint
 find_router(gboolean reader)
 {
     guint which = 0;
-    while (reads_for_others(which) != reader) {
+    while (is_reader(which) != reader) {
         which++;
     }
     return which;
@@ -192,30 +193,30 @@
 }
 
 static const Call_t *
-call_at(guint place)
+call_at(guint index)
 {
-    return &g_array_index(calls.open, Call_t, place);
+    return &g_array_index(calls.open, Call_t, index);
 }
 
 static Call_t
-take_call(guint place)
+remove_call(guint index)
 {
-    while (calls.open->len <= place) {
+    while (calls.open->len <= index) {
         event_base_loop(routers.base, EVLOOP_ONCE);
     }
-    Call_t call = *call_at(place);
-    g_array_remove_index(calls.open, place);
+    Call_t call = *call_at(index);
+    g_array_remove_index(calls.open, index);
     return call;
 }
 
-/* Ends the call at a place of those that are open; the page holds one record,
- * or none where there is no key. */
+/* Answers the open call at @index with a page of one record, or of none if
+ * @key is NULL. */
 static void
-answer(guint place, guint64 page_end, const char *key, const char *value,
+answer(guint index, guint64 page_end, const char *key, const char *value,
        guint64 offset)
 {
     KeyedPage_t page = FakePage_make(page_end, FALSE);
-    Call_t call = take_call(place);
+    Call_t call = remove_call(index);
     if (key) {
         FakePage_add(&page, key, value, offset);
     }
@@ -224,21 +225,21 @@
 }
 
 static void
-end_with_error(guint place)
+fail_call(guint index)
 {
     g_autoptr(GError) error =
         g_error_new_literal(WT_ERROR, WT_ERROR_TIMEOUT, "x");
-    Call_t call = take_call(place);
+    Call_t call = remove_call(index);
     call.done(NULL, error, call.data);
 }
 
 static void
-tell(guint64 offset, guint32 age_ms)
+receive_current(guint64 offset, guint32 age_ms)
 {
     Wt__ConfigCurrent message = WT__CONFIG_CURRENT__INIT;
     message.offset = offset;
     message.age_ms = age_ms;
-    RouteSync_take(route_sync, NULL, &message);
+    RouteSync_receiveCurrent(route_sync, NULL, &message);
 }
 
 static guint64
@@ -254,7 +255,7 @@
     return RouteTable_ageMs(routes, Clock_nowMs());
 }
 
-/* When it was last known that there is nothing newer, 0 for never. */
+/* When the configuration was last known to be the newest; 0 for never. */
 static gint64
 current_ms(void)
 {
@@ -263,25 +264,25 @@
     return age == G_MAXINT64 ? 0 : now_ms - age;
 }
 
-/* Version 5 at offset 9; the read that follows is held by the store. What
- * peers tell from then on is newer. */
+/* Lists version 5 at offset 9; the store holds the read that follows. Messages
+ * from peers after this call are newer than the list. */
 static void
 start_at_ten(void)
 {
     answer(0, 10, CONFIG_KEY, "5", 9);
     await_calls(2);
     ck_assert_uint_eq(call_at(0)->from, 10);
-    FakeRouters_run(&routers, NEWS_AFTER_MS);
+    FakeRouters_run(&routers, AFTER_TRANSIT_MS);
 }
 
-START_TEST(it_is_not_fresh_before_the_end_was_read)
+START_TEST(page_before_the_end_does_not_refresh_the_config)
 {
     begin(1);
     answer(0, 10, CONFIG_KEY, "5", 9);
     ck_assert_uint_eq(version(), 5);
     gint64 before_ms = current_ms();
     await_calls(2);
-    FakeRouters_run(&routers, NEWS_AFTER_MS);
+    FakeRouters_run(&routers, AFTER_TRANSIT_MS);
     answer(0, 12, CONFIG_KEY, "6", 10);
     ck_assert_int_eq(current_ms(), before_ms);
     answer(0, 12, CONFIG_KEY, "7", 11);
@@ -291,7 +292,7 @@
 }
 END_TEST
 
-START_TEST(an_older_version_in_a_newer_record_is_passed_over)
+START_TEST(older_version_in_newer_record_is_ignored)
 {
     begin(1);
     start_at_ten();
@@ -303,7 +304,7 @@
 }
 END_TEST
 
-START_TEST(what_can_not_be_read_or_was_removed_changes_nothing)
+START_TEST(unreadable_or_removed_record_changes_nothing)
 {
     begin(1);
     start_at_ten();
@@ -315,12 +316,12 @@
 }
 END_TEST
 
-START_TEST(who_has_read_to_the_same_end_is_as_fresh_as_its_peers)
+START_TEST(router_at_the_same_end_is_as_fresh_as_its_peers)
 {
     begin(1);
     start_at_ten();
     gint64 before_ms = current_ms();
-    tell(10, 50);
+    receive_current(10, 50);
     ck_assert_int_gt(current_ms(), before_ms);
     ck_assert_int_ge(age_ms(), 50 + PEER_TRANSIT_MAX_MS);
     ck_assert_uint_eq(calls.made, 2);
@@ -328,23 +329,23 @@
 }
 END_TEST
 
-START_TEST(during_its_first_list_no_peer_makes_it_fresh)
+START_TEST(peer_does_not_refresh_a_router_during_its_first_list)
 {
     begin(1);
     await_calls(1);
-    tell(10, 0);
+    receive_current(10, 0);
     ck_assert_int_eq(current_ms(), 0);
     ck_assert_uint_eq(version(), 0);
     end();
 }
 END_TEST
 
-START_TEST(who_is_behind_asks_at_once_and_is_not_fresh)
+START_TEST(router_that_is_behind_checks_the_store_at_once)
 {
     begin(1);
     start_at_ten();
     gint64 before_ms = current_ms();
-    tell(12, 0);
+    receive_current(12, 0);
     ck_assert_int_eq(current_ms(), before_ms);
     ck_assert_uint_eq(calls.made, 3);
     ck_assert_uint_eq(call_at(1)->from, 10);
@@ -356,27 +357,27 @@
 }
 END_TEST
 
-START_TEST(peers_that_say_so_again_are_not_asked_about_again)
+START_TEST(repeated_peer_updates_cause_one_store_check)
 {
     begin(1);
     start_at_ten();
-    tell(12, 100);
-    tell(12, 50);
-    tell(13, 0);
+    receive_current(12, 100);
+    receive_current(12, 50);
+    receive_current(13, 0);
     ck_assert_uint_eq(calls.made, 3);
     end();
 }
 END_TEST
 
-START_TEST(a_question_that_was_lost_is_asked_again)
+START_TEST(failed_store_check_is_repeated)
 {
     begin(1);
     start_at_ten();
-    tell(12, 0);
-    end_with_error(1);
+    receive_current(12, 0);
+    fail_call(1);
     ck_assert_uint_eq(version(), 5);
-    FakeRouters_run(&routers, ASK_OVER_MS);
-    tell(12, 0);
+    FakeRouters_run(&routers, CHECK_INTERVAL_MS);
+    receive_current(12, 0);
     await_calls(4);
     answer(1, 12, CONFIG_KEY, "6", 11);
     ck_assert_uint_eq(version(), 6);
@@ -384,11 +385,11 @@
 }
 END_TEST
 
-START_TEST(a_held_read_that_comes_late_takes_nothing_back)
+START_TEST(late_reply_to_held_read_reverts_nothing)
 {
     begin(1);
     start_at_ten();
-    tell(12, 0);
+    receive_current(12, 0);
     answer(1, 12, CONFIG_KEY, "7", 11);
     gint64 before_ms = current_ms();
     answer(0, 11, CONFIG_KEY, "6", 10);
@@ -400,11 +401,11 @@
 }
 END_TEST
 
-START_TEST(a_late_answer_to_a_question_takes_nothing_back)
+START_TEST(late_reply_to_store_check_reverts_nothing)
 {
     begin(1);
     start_at_ten();
-    tell(12, 0);
+    receive_current(12, 0);
     answer(0, 13, CONFIG_KEY, "8", 12);
     answer(0, 12, CONFIG_KEY, "6", 11);
     ck_assert_uint_eq(version(), 8);
@@ -412,53 +413,53 @@
 }
 END_TEST
 
-START_TEST(peers_that_are_behind_change_nothing)
+START_TEST(peer_that_is_behind_changes_nothing)
 {
     begin(1);
     start_at_ten();
     gint64 before_ms = current_ms();
-    tell(9, 0);
+    receive_current(9, 0);
     ck_assert_int_eq(current_ms(), before_ms);
     ck_assert_uint_eq(calls.made, 2);
     end();
 }
 END_TEST
 
-/* Those that read for all may be gone, or cut off. */
-START_TEST(who_is_told_nothing_asks_for_itself)
+/* The readers may have departed or lost their links. */
+START_TEST(router_without_peer_updates_checks_the_store)
 {
     begin(1);
     start_at_ten();
     gint64 began_ms = Clock_nowMs();
-    tell(10, 0);
+    receive_current(10, 0);
     await_calls(3);
     ck_assert_int_ge(Clock_nowMs() - began_ms,
-                     UNTOLD_MS - PEER_TRANSIT_MAX_MS);
+                     UPDATE_TIMEOUT_MS - PEER_TRANSIT_MAX_MS);
     ck_assert_int_eq(call_at(1)->wait_ms, 0);
     answer(1, 10, NULL, NULL, 0);
-    ck_assert_int_lt(age_ms(), UNTOLD_MS);
+    ck_assert_int_lt(age_ms(), UPDATE_TIMEOUT_MS);
     end();
 }
 END_TEST
 
-START_TEST(records_that_are_gone_are_listed_anew_and_nothing_reverts)
+START_TEST(truncated_records_are_listed_again_and_nothing_reverts)
 {
     begin(1);
     start_at_ten();
     g_autoptr(GError) error =
         g_error_new_literal(WT_ERROR, WT_ERROR_TRUNCATED, "x");
-    Call_t call = take_call(0);
+    Call_t call = remove_call(0);
     call.done(NULL, error, call.data);
     ck_assert(call_at(0)->list);
     ck_assert_uint_eq(version(), 5);
-    tell(90, 0);
+    receive_current(90, 0);
     answer(0, 90, CONFIG_KEY, "6", 80);
     ck_assert_uint_eq(version(), 6);
     end();
 }
 END_TEST
 
-START_TEST(of_versions_of_weights_the_newest_holds)
+START_TEST(newest_weights_version_is_used)
 {
     begin(1);
     answer(0, 10, WEIGHTS_KEY, "3", 9);
@@ -475,9 +476,9 @@
 }
 END_TEST
 
-START_TEST(the_read_of_a_reader_is_held_as_long_as_it_may_wait)
+START_TEST(store_holds_a_readers_read_for_reader_wait_ms)
 {
-    begin_as(MANY, TRUE);
+    begin_as(ROUTERS, TRUE);
     answer(0, 10, CONFIG_KEY, "5", 9);
     await_calls(2);
     ck_assert_int_eq(call_at(0)->wait_ms, READER_WAIT_MS);
@@ -494,30 +495,31 @@
 }
 
 static guint
-place_of_peer(void)
+index_of_peer(void)
 {
     return (guint)g_ascii_strtoull(any_peer()->name->str + 1, NULL, 10);
 }
 
-/* Version 5 at offset 9, as for start_at_ten(), but no read follows. */
+/* Lists version 5 at offset 9 as start_at_ten(), but on a non-reader, so that
+ * no read follows. */
 static void
-start_untold(void)
+start_without_reads(void)
 {
-    begin_as(MANY, FALSE);
+    begin_as(ROUTERS, FALSE);
     answer(0, 10, CONFIG_KEY, "5", 9);
-    FakeRouters_run(&routers, QUIET_MS);
+    FakeRouters_run(&routers, IDLE_MS);
 }
 
 static void
-tell_as_peer(guint64 offset)
+receive_current_from_peer(guint64 offset)
 {
     Wt__ConfigCurrent message = WT__CONFIG_CURRENT__INIT;
     message.offset = offset;
-    RouteSync_take(route_sync, any_peer(), &message);
+    RouteSync_receiveCurrent(route_sync, any_peer(), &message);
 }
 
 static void
-tell_record(guint64 from, guint64 page_end, char *value, guint64 offset)
+receive_record(guint64 from, guint64 page_end, char *value, guint64 offset)
 {
     Wt__TopicRecord record = WT__TOPIC_RECORD__INIT;
     Wt__TopicRecord *records[] = {&record};
@@ -530,21 +532,19 @@
     part.end = page_end;
     part.n_records = 1;
     part.records = records;
-    RouteSync_takePart(route_sync, &part);
+    RouteSync_receivePart(route_sync, &part);
 }
 
-/* Symptom: 295 routers made 7 to 8 calls each for what is new in the first
- * seconds, and one for each record that operators wrote, most of the calls of
- * a day without any fault.
- * Sequence: a router has listed the records and others read for it.
- * Cause: each router held a read of its own, and took itself for one that
- * reads for others until it knew them.
- * Settled by: the paths of calls in the lines of 43 routers. */
-START_TEST(who_is_read_for_makes_no_call_for_what_is_new)
+/* Guards against store calls by non-readers: each of 295 routers made 7 to 8
+ * calls for new records in the first seconds and one for each record that
+ * operators wrote, which was most of the calls of a day without faults. Each
+ * router had its own held read, and acted as a reader until it knew the other
+ * routers. */
+START_TEST(non_reader_makes_no_store_call_for_new_records)
 {
-    start_untold();
+    start_without_reads();
     ck_assert_uint_eq(calls.made, 1);
-    tell_record(10, 12, "6", 11);
+    receive_record(10, 12, "6", 11);
     ck_assert_uint_eq(version(), 6);
     ck_assert_uint_eq(calls.made, 1);
     end();
@@ -552,77 +552,77 @@
 END_TEST
 
 static gboolean
-peer_was_asked(const FakeRouters_t *all)
+peer_was_queried(const FakeRouters_t *all)
 {
-    return FakeRouters_count(all, place_of_peer(),
+    return FakeRouters_count(all, index_of_peer(),
                              WT__PEER_MESSAGE__BODY_TOPIC_ASK) > 0;
 }
 
-START_TEST(who_is_behind_asks_a_peer_and_then_the_store)
+START_TEST(router_that_is_behind_queries_a_peer_then_the_store)
 {
-    start_untold();
-    tell_as_peer(12);
-    FakeRouters_await(&routers, peer_was_asked);
-    const Wt__PeerMessage *asked = FakeRouters_find(
-        &routers, place_of_peer(), WT__PEER_MESSAGE__BODY_TOPIC_ASK);
-    ck_assert_uint_eq(asked->topic_ask->from, 10);
+    start_without_reads();
+    receive_current_from_peer(12);
+    FakeRouters_await(&routers, peer_was_queried);
+    const Wt__PeerMessage *query = FakeRouters_find(
+        &routers, index_of_peer(), WT__PEER_MESSAGE__BODY_TOPIC_ASK);
+    ck_assert_uint_eq(query->topic_ask->from, 10);
     ck_assert_uint_eq(calls.made, 1);
-    FakeRouters_run(&routers, BEHIND_MOST_MS + QUIET_MS);
+    FakeRouters_run(&routers, PEER_CATCH_UP_TIMEOUT_MS + IDLE_MS);
     ck_assert_uint_eq(calls.made, 2);
     answer(0, 12, CONFIG_KEY, "6", 11);
     ck_assert_uint_eq(version(), 6);
-    FakeRouters_run(&routers, QUIET_MS);
+    FakeRouters_run(&routers, IDLE_MS);
     ck_assert_uint_eq(calls.made, 2);
     end();
 }
 END_TEST
 
-START_TEST(a_peer_that_asks_gets_the_newest_record_of_each_key)
+START_TEST(querying_peer_gets_the_newest_record_of_each_key)
 {
-    start_untold();
-    tell_record(10, 12, "6", 11);
+    start_without_reads();
+    receive_record(10, 12, "6", 11);
     Wt__TopicAsk ask = WT__TOPIC_ASK__INIT;
     ask.from = 10;
-    RouteSync_answer(route_sync, any_peer(), &ask);
-    FakeRouters_run(&routers, QUIET_MS);
-    const Wt__PeerMessage *told = FakeRouters_find(
-        &routers, place_of_peer(), WT__PEER_MESSAGE__BODY_TOPIC_PART);
-    ck_assert_ptr_nonnull(told);
-    ck_assert_uint_eq(told->topic_part->from, 10);
-    ck_assert_uint_eq(told->topic_part->end, 12);
-    ck_assert_uint_eq(told->topic_part->n_records, 1);
-    ck_assert_uint_eq(told->topic_part->records[0]->offset, 11);
+    RouteSync_answerQuery(route_sync, any_peer(), &ask);
+    FakeRouters_run(&routers, IDLE_MS);
+    const Wt__PeerMessage *part_message = FakeRouters_find(
+        &routers, index_of_peer(), WT__PEER_MESSAGE__BODY_TOPIC_PART);
+    ck_assert_ptr_nonnull(part_message);
+    ck_assert_uint_eq(part_message->topic_part->from, 10);
+    ck_assert_uint_eq(part_message->topic_part->end, 12);
+    ck_assert_uint_eq(part_message->topic_part->n_records, 1);
+    ck_assert_uint_eq(part_message->topic_part->records[0]->offset, 11);
     end();
 }
 END_TEST
 
-START_TEST(a_peer_that_knows_as_much_gets_no_answer)
+START_TEST(peer_at_the_same_offset_gets_no_answer)
 {
-    start_untold();
+    start_without_reads();
     Wt__TopicAsk ask = WT__TOPIC_ASK__INIT;
     ask.from = 10;
-    RouteSync_answer(route_sync, any_peer(), &ask);
-    FakeRouters_run(&routers, QUIET_MS);
-    ck_assert_uint_eq(FakeRouters_count(&routers, place_of_peer(),
+    RouteSync_answerQuery(route_sync, any_peer(), &ask);
+    FakeRouters_run(&routers, IDLE_MS);
+    ck_assert_uint_eq(FakeRouters_count(&routers, index_of_peer(),
                                         WT__PEER_MESSAGE__BODY_TOPIC_PART),
                       0);
     end();
 }
 END_TEST
 
-START_TEST(a_peer_is_asked_for_the_version_that_the_store_has_lost)
+START_TEST(router_queries_a_peer_for_the_version_the_store_lost)
 {
-    start_untold();
+    start_without_reads();
     gint64 before_ms = current_ms();
-    Wt__ConfigCurrent told = WT__CONFIG_CURRENT__INIT;
-    told.offset = 10;
-    told.version = 8;
-    RouteSync_take(route_sync, any_peer(), &told);
+    Wt__ConfigCurrent update = WT__CONFIG_CURRENT__INIT;
+    update.offset = 10;
+    update.version = 8;
+    RouteSync_receiveCurrent(route_sync, any_peer(), &update);
     ck_assert_int_eq(current_ms(), before_ms);
-    FakeRouters_await(&routers, peer_was_asked);
-    const Wt__PeerMessage *asked = FakeRouters_find(
-        &routers, place_of_peer(), WT__PEER_MESSAGE__BODY_TOPIC_ASK);
-    ck_assert_uint_eq(asked->topic_ask->version, 5);
+    FakeRouters_await(&routers, peer_was_queried);
+    const Wt__PeerMessage *query = FakeRouters_find(
+        &routers, index_of_peer(), WT__PEER_MESSAGE__BODY_TOPIC_ASK);
+    ck_assert_uint_eq(query->topic_ask->version, 5);
     Wt__TopicRecord record = WT__TOPIC_RECORD__INIT;
     Wt__TopicRecord *records[] = {&record};
     Wt__TopicPart part = WT__TOPIC_PART__INIT;
@@ -631,84 +631,84 @@
     part.apart = TRUE;
     part.n_records = 1;
     part.records = records;
-    RouteSync_takePart(route_sync, &part);
+    RouteSync_receivePart(route_sync, &part);
     ck_assert_uint_eq(version(), 8);
     end();
 }
 END_TEST
 
-START_TEST(who_asks_with_an_older_version_is_told_what_the_store_has_lost)
+START_TEST(peer_with_older_version_gets_the_lost_records)
 {
-    start_untold();
+    start_without_reads();
     StoreEpoch_note(epoch, 0, "test");
     StoreEpoch_note(epoch, 1, "test");
     Wt__TopicAsk ask = WT__TOPIC_ASK__INIT;
     ask.epoch = 1;
     ask.from = 3;
     ask.version = 4;
-    RouteSync_answer(route_sync, any_peer(), &ask);
-    FakeRouters_run(&routers, QUIET_MS);
-    const Wt__PeerMessage *told = FakeRouters_find(
-        &routers, place_of_peer(), WT__PEER_MESSAGE__BODY_TOPIC_PART);
-    ck_assert_ptr_nonnull(told);
-    ck_assert(told->topic_part->apart);
-    ck_assert_str_eq(told->topic_part->records[0]->key, CONFIG_KEY);
+    RouteSync_answerQuery(route_sync, any_peer(), &ask);
+    FakeRouters_run(&routers, IDLE_MS);
+    const Wt__PeerMessage *part_message = FakeRouters_find(
+        &routers, index_of_peer(), WT__PEER_MESSAGE__BODY_TOPIC_PART);
+    ck_assert_ptr_nonnull(part_message);
+    ck_assert(part_message->topic_part->apart);
+    ck_assert_str_eq(part_message->topic_part->records[0]->key, CONFIG_KEY);
     end();
 }
 END_TEST
 
-/* Records hold whenever they come, but not how fresh they are. */
-START_TEST(a_record_that_waited_here_makes_nothing_fresh)
+/* The records in a delayed message are valid; the age in it is not. */
+START_TEST(record_delayed_in_this_router_refreshes_nothing)
 {
-    start_untold();
+    start_without_reads();
     gint64 before_ms = current_ms();
     g_usleep(1000 * CLOCK_US_PER_MS);
-    tell_record(10, 12, "6", 11);
+    receive_record(10, 12, "6", 11);
     ck_assert_uint_eq(version(), 6);
     ck_assert_int_eq(current_ms(), before_ms);
     end();
 }
 END_TEST
 
-/* Symptom: while the store was down each of hundreds of routers called it
- * about once a second. Cause: an answer that failed was asked for again after
- * the same time. Settled by: the count of calls of days with an outage. */
-START_TEST(a_store_that_fails_is_asked_less_and_less_often)
+/* Guards against constant load on a store that is down: each of hundreds of
+ * routers called it about once a second, as the interval between failed checks
+ * did not grow. */
+START_TEST(failing_store_is_checked_with_backoff)
 {
-    start_untold();
+    start_without_reads();
     gint64 end_ms = Clock_nowMs() + OUTAGE_MS;
     while (Clock_nowMs() < end_ms) {
-        FakeRouters_run(&routers, ASK_OVER_MS / 10);
+        FakeRouters_run(&routers, CHECK_INTERVAL_MS / 10);
         if (calls.open->len > 0) {
-            end_with_error(0);
+            fail_call(0);
         }
     }
     ck_assert_uint_ge(calls.made, 2);
-    ck_assert_uint_le(calls.made, 1 + OUTAGE_ASKS_MOST);
+    ck_assert_uint_le(calls.made, 1 + OUTAGE_CHECKS_MAX);
     end();
 }
 END_TEST
 
-TESTING_MAIN("RouteSync", it_is_not_fresh_before_the_end_was_read,
-             an_older_version_in_a_newer_record_is_passed_over,
-             what_can_not_be_read_or_was_removed_changes_nothing,
-             who_has_read_to_the_same_end_is_as_fresh_as_its_peers,
-             during_its_first_list_no_peer_makes_it_fresh,
-             who_is_behind_asks_at_once_and_is_not_fresh,
-             peers_that_say_so_again_are_not_asked_about_again,
-             a_question_that_was_lost_is_asked_again,
-             a_held_read_that_comes_late_takes_nothing_back,
-             a_late_answer_to_a_question_takes_nothing_back,
-             peers_that_are_behind_change_nothing,
-             who_is_told_nothing_asks_for_itself,
-             records_that_are_gone_are_listed_anew_and_nothing_reverts,
-             of_versions_of_weights_the_newest_holds,
-             the_read_of_a_reader_is_held_as_long_as_it_may_wait,
-             who_is_read_for_makes_no_call_for_what_is_new,
-             who_is_behind_asks_a_peer_and_then_the_store,
-             a_peer_that_asks_gets_the_newest_record_of_each_key,
-             a_peer_that_knows_as_much_gets_no_answer,
-             a_peer_is_asked_for_the_version_that_the_store_has_lost,
-             who_asks_with_an_older_version_is_told_what_the_store_has_lost,
-             a_record_that_waited_here_makes_nothing_fresh,
-             a_store_that_fails_is_asked_less_and_less_often)
+TESTING_MAIN("RouteSync", page_before_the_end_does_not_refresh_the_config,
+             older_version_in_newer_record_is_ignored,
+             unreadable_or_removed_record_changes_nothing,
+             router_at_the_same_end_is_as_fresh_as_its_peers,
+             peer_does_not_refresh_a_router_during_its_first_list,
+             router_that_is_behind_checks_the_store_at_once,
+             repeated_peer_updates_cause_one_store_check,
+             failed_store_check_is_repeated,
+             late_reply_to_held_read_reverts_nothing,
+             late_reply_to_store_check_reverts_nothing,
+             peer_that_is_behind_changes_nothing,
+             router_without_peer_updates_checks_the_store,
+             truncated_records_are_listed_again_and_nothing_reverts,
+             newest_weights_version_is_used,
+             store_holds_a_readers_read_for_reader_wait_ms,
+             non_reader_makes_no_store_call_for_new_records,
+             router_that_is_behind_queries_a_peer_then_the_store,
+             querying_peer_gets_the_newest_record_of_each_key,
+             peer_at_the_same_offset_gets_no_answer,
+             router_queries_a_peer_for_the_version_the_store_lost,
+             peer_with_older_version_gets_the_lost_records,
+             record_delayed_in_this_router_refreshes_nothing,
+             failing_store_is_checked_with_backoff)
--- a/tests/test_RouteVersions.c
+++ b/tests/test_RouteVersions.c
@@ -1,7 +1,8 @@
-/* A store came back older, and the operators had not yet written again what it
- * lost. A router that started then took the configuration before for the
- * newest and answered 200 to a key that the newest had revoked, though its
- * peers knew the newest one. */
+/* Guards against the use of a replaced configuration: the store was restored
+ * from an older copy, and the operators had not yet written the lost records
+ * again. A router that started in that time took the replaced configuration
+ * for the newest and answered 200 to a key that the newest one had revoked,
+ * although its peers had the newest one. */
 #include "testing.h"
 
 #include <string.h>
@@ -12,8 +13,8 @@
 
 #define CONFIG_KEY "config"
 #define WEIGHTS_KEY "version/m"
-/* Longer than a router waits for its peers. */
-#define WAITED_MS 400
+/* Longer than PEER_WAIT_MS. */
+#define PAST_PEER_WAIT_MS 400
 #define FRESH_MS 60000
 
 static struct event_base *base;
@@ -22,7 +23,7 @@
 static RouteVersions_t *versions;
 
 static guint64
-number_in(GBytes *value)
+parse_version(GBytes *value)
 {
     gsize length = 0;
     const char *text = g_bytes_get_data(value, &length);
@@ -34,7 +35,7 @@
 decode_config(GBytes *value, GError **error)
 {
     (void)error;
-    return RouteConfig_create(number_in(value));
+    return RouteConfig_create(parse_version(value));
 }
 
 static gboolean
@@ -42,7 +43,7 @@
 {
     (void)error;
     g_string_assign(model, "m");
-    *version = number_in(value);
+    *version = parse_version(value);
     return TRUE;
 }
 
@@ -54,7 +55,7 @@
 };
 
 static void
-begin(gboolean is_alone)
+set_up(gboolean is_alone)
 {
     base = event_base_new();
     routes = RouteTable_create();
@@ -67,7 +68,7 @@
 }
 
 static void
-end(void)
+tear_down(void)
 {
     RouteVersions_destroy(versions);
     ModelVersions_destroy(weights);
@@ -76,12 +77,12 @@
 }
 
 static void
-take(const char *key, const char *value, guint64 epoch, guint64 offset)
+apply(const char *key, const char *value, guint64 epoch, guint64 offset)
 {
     KeyedRecord_t *record =
         KeyedRecord_create(key, strlen(key), g_bytes_new(value, strlen(value)),
                            (StorePosition_t){epoch, offset});
-    RouteVersions_take(versions, record);
+    RouteVersions_apply(versions, record);
     KeyedRecord_free(record);
 }
 
@@ -100,107 +101,108 @@
     return RouteTable_isFresh(routes, FRESH_MS);
 }
 
-START_TEST(the_first_one_waits_for_the_word_of_a_peer)
+START_TEST(first_config_waits_for_a_peer_version)
 {
-    begin(FALSE);
-    take(CONFIG_KEY, "5", 1, 2);
+    set_up(FALSE);
+    apply(CONFIG_KEY, "5", 1, 2);
     ck_assert_uint_eq(RouteVersions_inForce(versions), 0);
-    RouteVersions_tell(versions, 5);
+    RouteVersions_notePeerVersion(versions, 5);
     ck_assert_uint_eq(RouteVersions_inForce(versions), 5);
-    end();
+    tear_down();
 }
 END_TEST
 
-START_TEST(one_that_peers_know_to_be_replaced_is_never_in_force)
+START_TEST(config_older_than_a_peers_is_never_in_force)
 {
-    begin(FALSE);
-    take(CONFIG_KEY, "5", 1, 2);
+    set_up(FALSE);
+    apply(CONFIG_KEY, "5", 1, 2);
     RouteVersions_noteCurrent(versions, Clock_nowMs());
-    RouteVersions_tell(versions, 7);
-    run(WAITED_MS);
+    RouteVersions_notePeerVersion(versions, 7);
+    run(PAST_PEER_WAIT_MS);
     ck_assert_uint_eq(RouteVersions_inForce(versions), 0);
     ck_assert_uint_eq(RouteVersions_newest(versions), 5);
-    take(CONFIG_KEY, "7", 0, 0);
+    apply(CONFIG_KEY, "7", 0, 0);
     ck_assert_uint_eq(RouteVersions_inForce(versions), 7);
     ck_assert(is_fresh());
-    end();
+    tear_down();
 }
 END_TEST
 
-START_TEST(where_no_peer_answers_it_goes_by_what_the_store_has)
+START_TEST(without_peer_replies_the_stored_config_is_used)
 {
-    begin(FALSE);
-    take(CONFIG_KEY, "5", 1, 2);
+    set_up(FALSE);
+    apply(CONFIG_KEY, "5", 1, 2);
     RouteVersions_noteCurrent(versions, Clock_nowMs());
-    run(WAITED_MS);
+    run(PAST_PEER_WAIT_MS);
     ck_assert_uint_eq(RouteVersions_inForce(versions), 5);
     ck_assert(is_fresh());
-    end();
+    tear_down();
 }
 END_TEST
 
-START_TEST(where_there_are_no_peers_nothing_is_waited_for)
+START_TEST(router_without_peers_does_not_wait)
 {
-    begin(TRUE);
-    take(CONFIG_KEY, "5", 1, 2);
+    set_up(TRUE);
+    apply(CONFIG_KEY, "5", 1, 2);
     ck_assert_uint_eq(RouteVersions_inForce(versions), 5);
-    end();
+    tear_down();
 }
 END_TEST
 
-START_TEST(who_is_behind_its_peers_is_not_fresh)
+START_TEST(router_behind_its_peers_is_not_fresh)
 {
-    begin(TRUE);
-    take(CONFIG_KEY, "5", 1, 2);
-    RouteVersions_tell(versions, 7);
+    set_up(TRUE);
+    apply(CONFIG_KEY, "5", 1, 2);
+    RouteVersions_notePeerVersion(versions, 7);
     ck_assert(RouteVersions_isBehind(versions));
     RouteVersions_noteCurrent(versions, Clock_nowMs());
     ck_assert(!is_fresh());
-    take(CONFIG_KEY, "7", 0, 0);
+    apply(CONFIG_KEY, "7", 0, 0);
     ck_assert(!RouteVersions_isBehind(versions));
     ck_assert(is_fresh());
-    end();
+    tear_down();
 }
 END_TEST
 
-START_TEST(what_the_store_has_lost_is_kept_and_told_apart)
+START_TEST(record_lost_by_the_store_is_kept_and_listed_as_lost)
 {
-    begin(TRUE);
-    take(CONFIG_KEY, "7", 0, 9);
-    take(WEIGHTS_KEY, "3", 0, 8);
-    take(CONFIG_KEY, "5", 1, 2);
-    take(WEIGHTS_KEY, "2", 1, 3);
+    set_up(TRUE);
+    apply(CONFIG_KEY, "7", 0, 9);
+    apply(WEIGHTS_KEY, "3", 0, 8);
+    apply(CONFIG_KEY, "5", 1, 2);
+    apply(WEIGHTS_KEY, "2", 1, 3);
     ck_assert_uint_eq(RouteVersions_inForce(versions), 7);
     ck_assert_str_eq(ModelVersions_findNewest(weights, "m"), "3");
     GPtrArray *apart =
-        RouteVersions_apart(versions, (StorePosition_t){.epoch = 1});
+        RouteVersions_listLost(versions, (StorePosition_t){.epoch = 1});
     ck_assert_uint_eq(apart->len, 2);
     g_ptr_array_unref(apart);
-    end();
+    tear_down();
 }
 END_TEST
 
-START_TEST(what_was_written_again_is_not_apart)
+START_TEST(record_written_again_is_not_listed_as_lost)
 {
-    begin(TRUE);
-    take(CONFIG_KEY, "7", 0, 9);
-    take(CONFIG_KEY, "5", 1, 2);
-    take(CONFIG_KEY, "7", 1, 3);
-    take(CONFIG_KEY, "7", 0, 0);
-    GPtrArray *apart = RouteVersions_apart(versions, (StorePosition_t){1, 3});
+    set_up(TRUE);
+    apply(CONFIG_KEY, "7", 0, 9);
+    apply(CONFIG_KEY, "5", 1, 2);
+    apply(CONFIG_KEY, "7", 1, 3);
+    apply(CONFIG_KEY, "7", 0, 0);
+    GPtrArray *apart =
+        RouteVersions_listLost(versions, (StorePosition_t){1, 3});
     ck_assert_uint_eq(apart->len, 0);
     g_ptr_array_unref(apart);
-    apart = RouteVersions_apart(versions, (StorePosition_t){1, 4});
+    apart = RouteVersions_listLost(versions, (StorePosition_t){1, 4});
     ck_assert_uint_eq(apart->len, 1);
     g_ptr_array_unref(apart);
-    end();
+    tear_down();
 }
 END_TEST
 
-TESTING_MAIN("RouteVersions", the_first_one_waits_for_the_word_of_a_peer,
-             one_that_peers_know_to_be_replaced_is_never_in_force,
-             where_no_peer_answers_it_goes_by_what_the_store_has,
-             where_there_are_no_peers_nothing_is_waited_for,
-             who_is_behind_its_peers_is_not_fresh,
-             what_the_store_has_lost_is_kept_and_told_apart,
-             what_was_written_again_is_not_apart)
+TESTING_MAIN("RouteVersions", first_config_waits_for_a_peer_version,
+             config_older_than_a_peers_is_never_in_force,
+             without_peer_replies_the_stored_config_is_used,
+             router_without_peers_does_not_wait,
+             router_behind_its_peers_is_not_fresh,
+             record_lost_by_the_store_is_kept_and_listed_as_lost,
+             record_written_again_is_not_listed_as_lost)
--- a/tests/test_SseParser.c
+++ b/tests/test_SseParser.c
@@ -40,14 +40,14 @@
     }
 }
 
-START_TEST(events_are_found_however_the_bytes_come)
+START_TEST(events_do_not_depend_on_input_chunks)
 {
     assert_events("id: 1\ndata: one\n\ndata: two\n\n", "1|one;-|two;");
     assert_events("id:1\r\ndata:one\r\n\r\n", "1|one;");
 }
 END_TEST
 
-START_TEST(comments_other_fields_and_empty_events_are_passed_over)
+START_TEST(comments_other_fields_and_empty_events_are_ignored)
 {
     assert_events(": comment\nretry: 5\n\nid: 7\n\ndata: x\n\n", "-|x;");
     assert_events("database: no\ndata\n\n", "");
@@ -60,13 +60,13 @@
 }
 END_TEST
 
-START_TEST(event_without_its_end_is_not_given)
+START_TEST(event_without_end_is_not_reported)
 {
     assert_events("data: whole\n\ndata: part\n", "-|whole;");
 }
 END_TEST
 
-START_TEST(callback_can_stop)
+START_TEST(callback_stops_parsing)
 {
     int stop = 1;
     ck_assert(!feed_all("data: a\n\ndata: b\n\n", 100, &stop));
@@ -75,7 +75,7 @@
 }
 END_TEST
 
-START_TEST(endless_line_is_a_fault)
+START_TEST(too_long_line_is_an_error)
 {
     GString *line = g_string_new("data: ");
     for (guint i = 0; i < EVENT_MAX + 10; i++) {
@@ -87,7 +87,7 @@
 }
 END_TEST
 
-START_TEST(event_of_endless_lines_is_a_fault)
+START_TEST(event_of_too_many_lines_is_an_error)
 {
     GString *lines = g_string_new("data: whole\n\n");
     while (lines->len <= EVENT_MAX + 20) {
@@ -100,7 +100,7 @@
 }
 END_TEST
 
-START_TEST(many_events_are_no_large_event)
+START_TEST(event_limit_applies_to_single_events)
 {
     GString *events = g_string_new(NULL);
     while (events->len <= EVENT_MAX + 20) {
@@ -112,9 +112,9 @@
 }
 END_TEST
 
-TESTING_MAIN("SseParser", events_are_found_however_the_bytes_come,
-             comments_other_fields_and_empty_events_are_passed_over,
+TESTING_MAIN("SseParser", events_do_not_depend_on_input_chunks,
+             comments_other_fields_and_empty_events_are_ignored,
              data_of_several_lines_is_joined,
-             event_without_its_end_is_not_given, callback_can_stop,
-             endless_line_is_a_fault, event_of_endless_lines_is_a_fault,
-             many_events_are_no_large_event)
+             event_without_end_is_not_reported, callback_stops_parsing,
+             too_long_line_is_an_error, event_of_too_many_lines_is_an_error,
+             event_limit_applies_to_single_events)
