--- a/bench/CrashReplay.c
+++ b/bench/CrashReplay.c
@@ -6,14 +6,15 @@
 #include "CompletedRequests.h"
 #include "CrashTable.h"
 
-/* Requests that come once have numbers from here on. */
-#define FIRST_SINGLE 1000000
-#define CALLER_WAIT_MS 50
-#define OWNERS 16
+/* Lowest number of a request that its caller sends only once; recurring and
+ * poison requests have lower numbers. */
+#define SINGLE_NUMBER_MIN 1000000
+#define CALLER_RETRY_MS 50
+#define OWNER_COUNT 16
 
 typedef struct {
     guint number;
-    gboolean is_deadly;
+    gboolean is_poison;
     guint router;
     guint attempts_left;
     guint tries_left;
@@ -21,42 +22,42 @@
 
 typedef struct {
     Request_t request;
-    guint64 run; /* identity */
+    guint64 id; /* unique in the replay */
 } Run_t;
 
 typedef struct {
-    GArray *runs; /* Run_t */
-    guint64 crash;
+    GArray *runs;  /* Run_t */
+    guint64 crash; /* id that the engine's next crash will have */
     gboolean is_up;
 } Engine_t;
 
-/* What is known of one deadly request, beyond what routers know. */
+/* Global view of one poison request; no router has all of this. */
 typedef struct {
-    guint ended;
+    guint crashes;
     guint late;
-    gint64 third_ms;
-    guint third_router;
-    gint64 first_held_ms;
-} Deadly_t;
+    gint64 third_crash_ms;
+    guint third_crash_router;
+    gint64 first_refusal_ms;
+} PoisonState_t;
 
 typedef enum {
-    EVENT_PROPER,
-    EVENT_DEADLY,
-    EVENT_TRY,
-    EVENT_END,
+    EVENT_HARMLESS,
+    EVENT_POISON,
+    EVENT_SEND,
+    EVENT_COMPLETE,
     EVENT_CRASH,
-    EVENT_BACK,
-    EVENT_LOST,
-    EVENT_LEARN,
-    EVENT_CLEAR,
+    EVENT_RESTART,
+    EVENT_OUTAGE,
+    EVENT_RECEIVE,
+    EVENT_VOID,
 } EventKind_t;
 
 typedef struct {
     gint64 at_ms;
-    guint64 order; /* of events at the same time */
+    guint64 order; /* breaks ties between events at the same time */
     EventKind_t kind;
-    guint index; /* router, engine or deadly request */
-    guint64 run;
+    guint index; /* of a router, an engine or a poison request */
+    guint64 run_id;
     guint64 crash;
     Request_t request;
 } Event_t;
@@ -67,20 +68,20 @@
     GRand *random;
     GSequence *events;
     gint64 now_ms;
-    guint64 orders;
-    guint64 runs;
-    guint64 crashes;
-    guint singles;
-    guint lost;
-    CrashTable_t **tables; /* of each router */
-    GHashTable **seen;     /* of each router: number -> when, in ms */
-    GHashTable *tried;     /* numbers that were sent once more */
+    guint64 next_order;
+    guint64 run_ids;
+    guint64 crash_ids;
+    guint single_count;
+    guint outages;
+    CrashTable_t **tables;  /* of each router */
+    GHashTable **completed; /* of each router: request number -> ms */
+    GHashTable *trials;     /* set of numbers sent from quarantine */
     Engine_t *engines;
-    Deadly_t *deadly;
-} Play_t;
+    PoisonState_t *poison;
+} CrashReplay_t;
 
 const char *
-CrashReplay_memoryName(CrashMemory_t memory)
+CrashReplay_formatMemory(CrashMemory_t memory)
 {
     static const char *const names[] = {"none", "own", "store", "keeper",
                                         "all"};
@@ -97,19 +98,19 @@
         .engines = 9,
         .rate = 60,
         .run_ms = 400,
-        .popular_percent = 10,
-        .popular = 20,
-        .deadly = 1,
-        .deadly_rate = 5,
-        .begin_ms = 200,
+        .repeated_percent = 10,
+        .repeated_count = 20,
+        .poison_count = 1,
+        .poison_rate = 5,
+        .crash_delay_max_ms = 200,
         .attempts = 2,
         .tries = 2,
-        .back_ms = 3300,
-        .proof_ms = 100,
-        .news_ms = 25,
+        .restart_ms = 3300,
+        .crash_detect_ms = 100,
+        .update_delay_ms = 25,
         .poll_ms = 1000,
-        .held_at = CRASHES_TO_QUARANTINE,
-        .remember_ms = COMPLETED_REQUESTS_RETAIN_MS,
+        .quarantine_at = CRASHES_TO_QUARANTINE,
+        .success_memory_ms = COMPLETED_REQUESTS_RETAIN_MS,
     };
 }
 
@@ -126,22 +127,22 @@
 }
 
 static void
-schedule(Play_t *this, gint64 in_ms, Event_t event)
+schedule(CrashReplay_t *this, gint64 in_ms, Event_t event)
 {
-    Event_t *kept = g_memdup2(&event, sizeof(event));
-    kept->at_ms = this->now_ms + in_ms;
-    kept->order = this->orders++;
-    g_sequence_insert_sorted(this->events, kept, compare_events, NULL);
+    Event_t *stored = g_memdup2(&event, sizeof(event));
+    stored->at_ms = this->now_ms + in_ms;
+    stored->order = this->next_order++;
+    g_sequence_insert_sorted(this->events, stored, compare_events, NULL);
 }
 
 static gint64
-draw_ms(Play_t *this, double mean_ms)
+draw_duration_ms(CrashReplay_t *this, double mean_ms)
 {
     return (gint64)(-log(1.0 - g_rand_double(this->random)) * mean_ms);
 }
 
 static guint
-draw(Play_t *this, guint below)
+draw_below(CrashReplay_t *this, guint below)
 {
     return (guint)g_rand_int_range(this->random, 0, (gint32)below);
 }
@@ -155,22 +156,22 @@
 }
 
 static const CrashEntry_t *
-find_entry(const Play_t *this, guint router, guint number)
+find_entry(const CrashReplay_t *this, guint router, guint number)
 {
     RequestDigest_t digest = digest_of(number);
     return CrashTable_find(this->tables[router], &digest);
 }
 
-/* Which crashes of one request also happened under others that are held back
- * and have more of them. */
+/* Finds the crashes of one request that also happened under another
+ * quarantined request with more valid crashes, which explains them. */
 typedef struct {
     const CrashEntry_t *entry;
-    guint held_at;
+    guint quarantine_at;
     gboolean explained[CRASHES_PER_REQUEST_MAX];
-} Explain_t;
+} Explanation_t;
 
 static void
-explain_mark(Explain_t *this, const CrashMark_t *mark)
+match_mark(Explanation_t *this, const CrashMark_t *mark)
 {
     for (guint i = 0; i < this->entry->mark_count; i++) {
         gboolean same = mark->crash == this->entry->marks[i].crash;
@@ -179,69 +180,73 @@
 }
 
 static void
-explain_by(CrashEntry_t *other, void *data)
+match_entry(CrashEntry_t *other, void *data)
 {
-    Explain_t *this = data;
-    guint counted = CrashEntry_countValid(other);
-    if (counted < this->held_at ||
-        counted <= CrashEntry_countValid(this->entry)) {
+    Explanation_t *this = data;
+    guint count = CrashEntry_countValid(other);
+    if (count < this->quarantine_at ||
+        count <= CrashEntry_countValid(this->entry)) {
         return;
     }
     for (guint i = 0; i < other->mark_count; i++) {
-        explain_mark(this, &other->marks[i]);
+        match_mark(this, &other->marks[i]);
     }
 }
 
 static guint
-count_unexplained(const Play_t *this, guint router, const CrashEntry_t *entry)
+count_unexplained(const CrashReplay_t *this, guint router,
+                  const CrashEntry_t *entry)
 {
-    Explain_t explain = {.entry = entry, .held_at = this->spec.held_at};
-    guint left = 0;
-    CrashTable_forEach(this->tables[router], explain_by, &explain);
+    Explanation_t explanation = {.entry = entry,
+                                 .quarantine_at = this->spec.quarantine_at};
+    guint unexplained = 0;
+    CrashTable_forEach(this->tables[router], match_entry, &explanation);
     for (guint i = 0; i < entry->mark_count; i++) {
-        left += entry->marks[i].voided || explain.explained[i] ? 0 : 1;
+        unexplained +=
+            entry->marks[i].voided || explanation.explained[i] ? 0 : 1;
     }
-    return left;
+    return unexplained;
 }
 
 static gboolean
-is_trial(const Play_t *this, const Request_t *request,
+is_trial(const CrashReplay_t *this, const Request_t *request,
          const CrashEntry_t *entry)
 {
-    return this->spec.trial_ms > 0 &&
+    return this->spec.trial_delay_ms > 0 &&
            request->router == request->number % this->spec.routers &&
-           CrashEntry_countValid(entry) == this->spec.held_at &&
-           this->now_ms - entry->last_ms >= this->spec.trial_ms &&
-           !g_hash_table_contains(this->tried,
+           CrashEntry_countValid(entry) == this->spec.quarantine_at &&
+           this->now_ms - entry->last_ms >= this->spec.trial_delay_ms &&
+           !g_hash_table_contains(this->trials,
                                   GUINT_TO_POINTER(request->number));
 }
 
 static gboolean
-is_held(const Play_t *this, const Request_t *request)
+is_quarantined(const CrashReplay_t *this, const Request_t *request)
 {
     const CrashEntry_t *entry =
         find_entry(this, request->router, request->number);
-    guint counted = entry ? CrashEntry_countValid(entry) : 0;
-    if (!entry || counted < this->spec.held_at ||
+    guint count = entry ? CrashEntry_countValid(entry) : 0;
+    if (!entry || count < this->spec.quarantine_at ||
         is_trial(this, request, entry)) {
         return FALSE;
     }
-    if (this->spec.explained_at == 0 || counted >= this->spec.explained_at) {
+    if (this->spec.explained_below == 0 ||
+        count >= this->spec.explained_below) {
         return TRUE;
     }
     return count_unexplained(this, request->router, entry) >=
-           this->spec.held_at;
+           this->spec.quarantine_at;
 }
 
 static void
-tell(Play_t *this, EventKind_t kind, guint from, const Request_t *request,
-     guint64 crash)
+broadcast(CrashReplay_t *this, EventKind_t kind, guint from,
+          const Request_t *request, guint64 crash)
 {
     gboolean by_store = this->spec.memory == CRASH_MEMORY_STORE;
     this->result.messages += by_store ? 1 : this->spec.routers - 1;
     for (guint i = 0; i < this->spec.routers; i++) {
-        gint64 wait_ms = by_store ? draw(this, (guint)this->spec.poll_ms)
-                                  : this->spec.news_ms;
+        gint64 wait_ms = by_store ? draw_below(this, (guint)this->spec.poll_ms)
+                                  : this->spec.update_delay_ms;
         Event_t event = {
             .kind = kind, .index = i, .crash = crash, .request = *request};
         if (i != from) {
@@ -251,89 +256,93 @@
 }
 
 static gboolean
-has_seen_whole(const Play_t *this, guint router, guint number)
+has_seen_complete(const CrashReplay_t *this, guint router, guint number)
 {
-    gint64 at_ms = GPOINTER_TO_INT(
-        g_hash_table_lookup(this->seen[router], GUINT_TO_POINTER(number)));
-    return this->spec.remember_ms > 0 && at_ms > 0 &&
-           this->now_ms - at_ms < this->spec.remember_ms;
+    gint64 at_ms = GPOINTER_TO_INT(g_hash_table_lookup(
+        this->completed[router], GUINT_TO_POINTER(number)));
+    return this->spec.success_memory_ms > 0 && at_ms > 0 &&
+           this->now_ms - at_ms < this->spec.success_memory_ms;
 }
 
-/* What a router holds back another way than by its own count is in its table
- * as crashes all the same. */
+/* Adds the crash to the router's table. Quarantines learned from the store or
+ * from the keeper are also modelled as crashes in this table. */
 static void
-note_crash(Play_t *this, guint router, const Request_t *request, guint64 crash)
+note_crash(CrashReplay_t *this, guint router, const Request_t *request,
+           guint64 crash)
 {
     RequestDigest_t digest = digest_of(request->number);
-    CrashFact_t fact = {digest, request->number % OWNERS, crash, this->now_ms};
+    CrashFact_t fact = {digest, request->number % OWNER_COUNT, crash,
+                        this->now_ms};
     CrashTable_add(this->tables[router], &fact, this->now_ms);
     const CrashEntry_t *entry = find_entry(this, router, request->number);
-    if (entry && CrashEntry_countValid(entry) >= this->spec.held_at &&
-        has_seen_whole(this, router, request->number) &&
+    if (entry && CrashEntry_countValid(entry) >= this->spec.quarantine_at &&
+        has_seen_complete(this, router, request->number) &&
         CrashTable_voidAll(this->tables[router], &digest)) {
-        g_hash_table_remove(this->seen[router],
+        g_hash_table_remove(this->completed[router],
                             GUINT_TO_POINTER(request->number));
-        tell(this, EVENT_CLEAR, router, request, 0);
+        broadcast(this, EVENT_VOID, router, request, 0);
     }
 }
 
-/* The first router stands for the keeper of all. */
+/* Router 0 acts as the keeper of every request. */
 static void
-tell_keeper(Play_t *this, const Request_t *request, guint64 crash)
+report_to_keeper(CrashReplay_t *this, const Request_t *request, guint64 crash)
 {
     const CrashEntry_t *before = find_entry(this, 0, request->number);
-    guint counted = before ? CrashEntry_countValid(before) : 0;
+    guint count = before ? CrashEntry_countValid(before) : 0;
     this->result.messages++;
     note_crash(this, 0, request, crash);
     const CrashEntry_t *entry = find_entry(this, 0, request->number);
-    if (counted < this->spec.held_at && entry &&
-        CrashEntry_countValid(entry) >= this->spec.held_at) {
+    if (count < this->spec.quarantine_at && entry &&
+        CrashEntry_countValid(entry) >= this->spec.quarantine_at) {
         for (guint i = 0; i < entry->mark_count; i++) {
-            tell(this, EVENT_LEARN, 0, request, entry->marks[i].crash);
+            broadcast(this, EVENT_RECEIVE, 0, request, entry->marks[i].crash);
         }
+        /* The crashes of one request are sent in one message per router. */
         this->result.messages -=
             (guint64)(entry->mark_count - 1) * (this->spec.routers - 1);
     }
 }
 
 static void
-on_proof(Play_t *this, const Event_t *event)
+on_crash_detected(CrashReplay_t *this, const Event_t *event)
 {
     const Request_t *request = &event->request;
     switch (this->spec.memory) {
     case CRASH_MEMORY_NONE:
         return;
     case CRASH_MEMORY_KEEPER:
-        tell_keeper(this, request, event->crash);
+        report_to_keeper(this, request, event->crash);
         return;
     default:
         note_crash(this, request->router, request, event->crash);
     }
-    if (this->spec.memory != CRASH_MEMORY_OWN) {
-        tell(this, EVENT_LEARN, request->router, request, event->crash);
+    if (this->spec.memory != CRASH_MEMORY_LOCAL) {
+        broadcast(this, EVENT_RECEIVE, request->router, request, event->crash);
     }
 }
 
 static void
-note_held(Play_t *this, const Request_t *request)
+note_quarantined(CrashReplay_t *this, const Request_t *request)
 {
-    if (!request->is_deadly) {
+    if (!request->is_poison) {
         this->result.refused++;
-        this->result.refused_popular += request->number < FIRST_SINGLE ? 1 : 0;
+        this->result.refused_repeated +=
+            request->number < SINGLE_NUMBER_MIN ? 1 : 0;
         this->result.unserved += request->tries_left == 0 ? 1 : 0;
         return;
     }
-    Deadly_t *deadly = &this->deadly[request->number];
-    if (deadly->third_ms > 0 && deadly->first_held_ms == 0 &&
-        request->router != deadly->third_router) {
-        deadly->first_held_ms = this->now_ms;
+    PoisonState_t *poison = &this->poison[request->number];
+    if (poison->third_crash_ms > 0 && poison->first_refusal_ms == 0 &&
+        request->router != poison->third_crash_router) {
+        poison->first_refusal_ms = this->now_ms;
     }
 }
 
 static Engine_t *
-choose_engine(Play_t *this)
+choose_engine(CrashReplay_t *this)
 {
-    guint first = draw(this, this->spec.engines);
+    guint first = draw_below(this, this->spec.engines);
     for (guint i = 0; i < this->spec.engines; i++) {
         Engine_t *engine = &this->engines[(first + i) % this->spec.engines];
         if (engine->is_up) {
@@ -343,103 +352,106 @@
     return NULL;
 }
 
-/* Its caller comes again, at any router. */
+/* The caller retries at a random router. */
 static void
-try_again(Play_t *this, Request_t request)
+schedule_retry(CrashReplay_t *this, Request_t request)
 {
     if (request.tries_left == 0) {
         return;
     }
     request.tries_left--;
     request.attempts_left = this->spec.attempts;
-    request.router = draw(this, this->spec.routers);
-    Event_t event = {.kind = EVENT_TRY, .request = request};
-    schedule(this, CALLER_WAIT_MS, event);
+    request.router = draw_below(this, this->spec.routers);
+    Event_t event = {.kind = EVENT_SEND, .request = request};
+    schedule(this, CALLER_RETRY_MS, event);
 }
 
 static void
-note_sent(Play_t *this, const Request_t *request)
+note_sent(CrashReplay_t *this, const Request_t *request)
 {
-    if (!request->is_deadly) {
+    if (!request->is_poison) {
         return;
     }
-    Deadly_t *deadly = &this->deadly[request->number];
-    gboolean is_late =
-        deadly->third_ms > 0 &&
-        this->now_ms > deadly->third_ms + CRASH_REPLAY_CONTACT_MS;
-    deadly->late += is_late ? 1 : 0;
+    PoisonState_t *poison = &this->poison[request->number];
+    gboolean is_late = poison->third_crash_ms > 0 &&
+                       this->now_ms > poison->third_crash_ms +
+                                          CRASH_REPLAY_PROPAGATION_MAX_MS;
+    poison->late += is_late ? 1 : 0;
 }
 
 static void
-send_request(Play_t *this, Request_t request)
+send_request(CrashReplay_t *this, Request_t request)
 {
-    Engine_t *engine = is_held(this, &request) ? NULL : choose_engine(this);
-    if (is_held(this, &request)) {
-        note_held(this, &request);
+    Engine_t *engine =
+        is_quarantined(this, &request) ? NULL : choose_engine(this);
+    if (is_quarantined(this, &request)) {
+        note_quarantined(this, &request);
     }
     if (!engine) {
-        try_again(this, request);
+        schedule_retry(this, request);
         return;
     }
     request.attempts_left--;
     const CrashEntry_t *entry =
         find_entry(this, request.router, request.number);
-    if (entry && CrashEntry_countValid(entry) >= this->spec.held_at) {
-        g_hash_table_add(this->tried, GUINT_TO_POINTER(request.number));
+    if (entry && CrashEntry_countValid(entry) >= this->spec.quarantine_at) {
+        g_hash_table_add(this->trials, GUINT_TO_POINTER(request.number));
     }
     note_sent(this, &request);
-    Run_t run = {request, ++this->runs};
+    Run_t run = {request, ++this->run_ids};
     g_array_append_val(engine->runs, run);
-    Event_t event = {.kind = request.is_deadly ? EVENT_CRASH : EVENT_END,
+    Event_t event = {.kind = request.is_poison ? EVENT_CRASH : EVENT_COMPLETE,
                      .index = (guint)(engine - this->engines),
-                     .run = run.run,
+                     .run_id = run.id,
                      .crash = engine->crash};
-    gint64 in_ms = request.is_deadly
-                       ? 1 + draw(this, (guint)this->spec.begin_ms)
-                       : 1 + draw_ms(this, this->spec.run_ms);
+    gint64 in_ms =
+        request.is_poison
+            ? 1 + draw_below(this, (guint)this->spec.crash_delay_max_ms)
+            : 1 + draw_duration_ms(this, this->spec.run_ms);
     schedule(this, in_ms, event);
 }
 
 static void
-lose_run(Play_t *this, const Run_t *run, guint64 crash)
+fail_run(CrashReplay_t *this, const Run_t *run, guint64 crash)
 {
     Request_t request = run->request;
-    Event_t proof = {.kind = EVENT_LEARN,
-                     .index = this->spec.routers, /* none has told it */
-                     .crash = crash,
-                     .request = request};
-    schedule(this, this->spec.proof_ms, proof);
+    Event_t detected = {
+        .kind = EVENT_RECEIVE,
+        .index = this->spec.routers, /* the router's own detection */
+        .crash = crash,
+        .request = request};
+    schedule(this, this->spec.crash_detect_ms, detected);
     if (request.attempts_left > 0) {
-        Event_t again = {.kind = EVENT_TRY, .request = request};
-        schedule(this, 0, again);
+        Event_t retry = {.kind = EVENT_SEND, .request = request};
+        schedule(this, 0, retry);
     }
     else {
-        try_again(this, request);
+        schedule_retry(this, request);
     }
 }
 
 static void
-end_engine(Play_t *this, Engine_t *engine)
+crash_engine(CrashReplay_t *this, Engine_t *engine)
 {
     GArray *runs = engine->runs;
     guint64 crash = engine->crash;
     engine->runs = g_array_new(FALSE, FALSE, sizeof(Run_t));
     engine->is_up = FALSE;
-    engine->crash = ++this->crashes;
+    engine->crash = ++this->crash_ids;
     for (guint i = 0; i < runs->len; i++) {
-        lose_run(this, &g_array_index(runs, Run_t, i), crash);
+        fail_run(this, &g_array_index(runs, Run_t, i), crash);
     }
     g_array_unref(runs);
-    Event_t back = {.kind = EVENT_BACK,
-                    .index = (guint)(engine - this->engines)};
-    schedule(this, this->spec.back_ms, back);
+    Event_t restart = {.kind = EVENT_RESTART,
+                       .index = (guint)(engine - this->engines)};
+    schedule(this, this->spec.restart_ms, restart);
 }
 
 static gint
-find_run(const Engine_t *engine, guint64 run)
+find_run(const Engine_t *engine, guint64 id)
 {
     for (guint i = 0; i < engine->runs->len; i++) {
-        if (g_array_index(engine->runs, Run_t, i).run == run) {
+        if (g_array_index(engine->runs, Run_t, i).id == id) {
             return (gint)i;
         }
     }
@@ -447,119 +459,124 @@
 }
 
 static void
-note_deadly_end(Play_t *this, const Request_t *request)
+note_poison_crash(CrashReplay_t *this, const Request_t *request)
 {
-    Deadly_t *deadly = &this->deadly[request->number];
-    this->result.ended++;
-    if (++deadly->ended == CRASHES_TO_QUARANTINE) {
-        deadly->third_ms = this->now_ms;
-        deadly->third_router = request->router;
+    PoisonState_t *poison = &this->poison[request->number];
+    this->result.crashes++;
+    if (++poison->crashes == CRASHES_TO_QUARANTINE) {
+        poison->third_crash_ms = this->now_ms;
+        poison->third_crash_router = request->router;
     }
 }
 
 static void
-on_crash(Play_t *this, const Event_t *event)
+on_crash(CrashReplay_t *this, const Event_t *event)
 {
     Engine_t *engine = &this->engines[event->index];
-    gint place = find_run(engine, event->run);
-    if (place >= 0) {
-        note_deadly_end(this,
-                        &g_array_index(engine->runs, Run_t, place).request);
-        end_engine(this, engine);
+    gint run_index = find_run(engine, event->run_id);
+    if (run_index >= 0) {
+        note_poison_crash(
+            this, &g_array_index(engine->runs, Run_t, run_index).request);
+        crash_engine(this, engine);
     }
 }
 
 static void
-come_through(Play_t *this, const Request_t *request)
+complete_request(CrashReplay_t *this, const Request_t *request)
 {
     const CrashEntry_t *entry =
         find_entry(this, request->router, request->number);
     RequestDigest_t digest = digest_of(request->number);
     this->result.served++;
-    if (request->number < FIRST_SINGLE) {
-        g_hash_table_replace(this->seen[request->router],
+    if (request->number < SINGLE_NUMBER_MIN) {
+        g_hash_table_replace(this->completed[request->router],
                              GUINT_TO_POINTER(request->number),
                              GINT_TO_POINTER((gint)this->now_ms));
     }
-    if (!this->spec.no_clearing && entry && CrashEntry_countValid(entry) > 0) {
+    if (!this->spec.keep_after_success && entry &&
+        CrashEntry_countValid(entry) > 0) {
         CrashTable_voidAll(this->tables[request->router], &digest);
-        tell(this, EVENT_CLEAR, request->router, request, 0);
+        broadcast(this, EVENT_VOID, request->router, request, 0);
     }
 }
 
 static void
-on_end(Play_t *this, const Event_t *event)
+on_complete(CrashReplay_t *this, const Event_t *event)
 {
     Engine_t *engine = &this->engines[event->index];
-    gint place = find_run(engine, event->run);
-    if (place >= 0) {
-        Request_t request = g_array_index(engine->runs, Run_t, place).request;
-        g_array_remove_index_fast(engine->runs, (guint)place);
-        come_through(this, &request);
+    gint run_index = find_run(engine, event->run_id);
+    if (run_index >= 0) {
+        Request_t request =
+            g_array_index(engine->runs, Run_t, run_index).request;
+        g_array_remove_index_fast(engine->runs, (guint)run_index);
+        complete_request(this, &request);
     }
 }
 
 static Request_t
-new_request(Play_t *this, guint number, gboolean is_deadly)
+new_request(CrashReplay_t *this, guint number, gboolean is_poison)
 {
     return (Request_t){
         .number = number,
-        .is_deadly = is_deadly,
-        .router = draw(this, this->spec.routers),
+        .is_poison = is_poison,
+        .router = draw_below(this, this->spec.routers),
         .attempts_left = this->spec.attempts,
         .tries_left = this->spec.tries - 1,
     };
 }
 
 static gboolean
-is_popular(Play_t *this)
+draw_is_repeated(CrashReplay_t *this)
 {
-    return draw(this, 100) < this->spec.popular_percent;
+    return draw_below(this, 100) < this->spec.repeated_percent;
 }
 
 static void
-on_proper(Play_t *this, const Event_t *event)
+on_harmless(CrashReplay_t *this, const Event_t *event)
 {
-    guint number = is_popular(this)
-                       ? this->spec.deadly + draw(this, this->spec.popular)
-                       : FIRST_SINGLE + this->singles++;
-    this->result.proper++;
+    guint number = draw_is_repeated(this)
+                       ? this->spec.poison_count +
+                             draw_below(this, this->spec.repeated_count)
+                       : SINGLE_NUMBER_MIN + this->single_count++;
+    this->result.harmless_requests++;
     send_request(this, new_request(this, number, FALSE));
     if (this->now_ms < this->spec.duration_ms) {
-        schedule(this, 1 + draw_ms(this, 1000 / this->spec.rate), *event);
+        schedule(this, 1 + draw_duration_ms(this, 1000 / this->spec.rate),
+                 *event);
     }
 }
 
 static void
-on_deadly(Play_t *this, const Event_t *event)
+on_poison(CrashReplay_t *this, const Event_t *event)
 {
     send_request(this, new_request(this, event->index, TRUE));
     if (this->now_ms < this->spec.duration_ms) {
-        schedule(this, 1 + draw_ms(this, 1000 / this->spec.deadly_rate),
+        schedule(this,
+                 1 + draw_duration_ms(this, 1000 / this->spec.poison_rate),
                  *event);
     }
 }
 
 static void
-on_lost(Play_t *this, const Event_t *event)
+on_outage(CrashReplay_t *this, const Event_t *event)
 {
-    guint count = this->spec.engines * this->spec.lost_percent / 100;
+    guint count = this->spec.engines * this->spec.outage_percent / 100;
     for (guint i = 0; i < count; i++) {
         Engine_t *engine = choose_engine(this);
         if (engine) {
-            end_engine(this, engine);
+            crash_engine(this, engine);
         }
     }
-    if (++this->lost < this->spec.lost_times) {
-        schedule(this, this->spec.lost_every_ms, *event);
+    if (++this->outages < this->spec.outage_count) {
+        schedule(this, this->spec.outage_interval_ms, *event);
     }
 }
 
 static void
-on_learn(Play_t *this, const Event_t *event)
+on_receive(CrashReplay_t *this, const Event_t *event)
 {
     if (event->index == this->spec.routers) {
-        on_proof(this, event);
+        on_crash_detected(this, event);
     }
     else {
         note_crash(this, event->index, &event->request, event->crash);
@@ -567,103 +584,106 @@
 }
 
 static void
-handle(Play_t *this, const Event_t *event)
+handle_event(CrashReplay_t *this, const Event_t *event)
 {
     RequestDigest_t digest = digest_of(event->request.number);
     switch (event->kind) {
-    case EVENT_PROPER:
-        on_proper(this, event);
+    case EVENT_HARMLESS:
+        on_harmless(this, event);
         break;
-    case EVENT_DEADLY:
-        on_deadly(this, event);
+    case EVENT_POISON:
+        on_poison(this, event);
         break;
-    case EVENT_TRY:
+    case EVENT_SEND:
         send_request(this, event->request);
         break;
-    case EVENT_END:
-        on_end(this, event);
+    case EVENT_COMPLETE:
+        on_complete(this, event);
         break;
     case EVENT_CRASH:
         on_crash(this, event);
         break;
-    case EVENT_BACK:
+    case EVENT_RESTART:
         this->engines[event->index].is_up = TRUE;
         break;
-    case EVENT_LOST:
-        on_lost(this, event);
+    case EVENT_OUTAGE:
+        on_outage(this, event);
         break;
-    case EVENT_LEARN:
-        on_learn(this, event);
+    case EVENT_RECEIVE:
+        on_receive(this, event);
         break;
-    case EVENT_CLEAR:
+    case EVENT_VOID:
         CrashTable_voidAll(this->tables[event->index], &digest);
-        g_hash_table_remove(this->seen[event->index],
+        g_hash_table_remove(this->completed[event->index],
                             GUINT_TO_POINTER(event->request.number));
         break;
     }
 }
 
 static void
-begin(Play_t *this)
+create_state(CrashReplay_t *this)
 {
     const CrashReplaySpec_t *spec = &this->spec;
     this->random = g_rand_new_with_seed(spec->seed);
     this->events = g_sequence_new(g_free);
     this->tables = g_new0(CrashTable_t *, spec->routers);
-    this->seen = g_new0(GHashTable *, spec->routers);
-    this->tried = g_hash_table_new(g_direct_hash, g_direct_equal);
+    this->completed = g_new0(GHashTable *, spec->routers);
+    this->trials = g_hash_table_new(g_direct_hash, g_direct_equal);
     this->engines = g_new0(Engine_t, spec->engines);
-    this->deadly = g_new0(Deadly_t, spec->deadly + 1);
+    this->poison = g_new0(PoisonState_t, spec->poison_count + 1);
     for (guint i = 0; i < spec->routers; i++) {
         this->tables[i] = CrashTable_create();
-        this->seen[i] = g_hash_table_new(g_direct_hash, g_direct_equal);
+        this->completed[i] = g_hash_table_new(g_direct_hash, g_direct_equal);
     }
     for (guint i = 0; i < spec->engines; i++) {
         this->engines[i] = (Engine_t){g_array_new(FALSE, FALSE, sizeof(Run_t)),
-                                      ++this->crashes, TRUE};
+                                      ++this->crash_ids, TRUE};
     }
-    schedule(this, 0, (Event_t){.kind = EVENT_PROPER});
-    for (guint i = 0; i < spec->deadly; i++) {
-        Event_t first = {.kind = EVENT_DEADLY, .index = i};
-        schedule(this, spec->duration_ms / 6 + draw(this, 1000), first);
+    schedule(this, 0, (Event_t){.kind = EVENT_HARMLESS});
+    for (guint i = 0; i < spec->poison_count; i++) {
+        Event_t first = {.kind = EVENT_POISON, .index = i};
+        schedule(this, spec->duration_ms / 6 + draw_below(this, 1000), first);
     }
-    if (spec->lost_times > 0) {
-        schedule(this, spec->lost_every_ms, (Event_t){.kind = EVENT_LOST});
+    if (spec->outage_count > 0) {
+        schedule(this, spec->outage_interval_ms,
+                 (Event_t){.kind = EVENT_OUTAGE});
     }
 }
 
 static void
-sum_up(Play_t *this)
-{
-    guint counted = 0;
-    double waited_ms = 0;
-    for (guint i = 0; i < this->spec.deadly; i++) {
-        const Deadly_t *deadly = &this->deadly[i];
-        this->result.ended_most = MAX(this->result.ended_most, deadly->ended);
-        this->result.late_most = MAX(this->result.late_most, deadly->late);
-        if (deadly->first_held_ms > 0) {
-            waited_ms += (double)(deadly->first_held_ms - deadly->third_ms);
-            counted++;
+fill_result(CrashReplay_t *this)
+{
+    guint count = 0;
+    double delay_ms = 0;
+    for (guint i = 0; i < this->spec.poison_count; i++) {
+        const PoisonState_t *poison = &this->poison[i];
+        this->result.crashes_max =
+            MAX(this->result.crashes_max, poison->crashes);
+        this->result.late_max = MAX(this->result.late_max, poison->late);
+        if (poison->first_refusal_ms > 0) {
+            delay_ms +=
+                (double)(poison->first_refusal_ms - poison->third_crash_ms);
+            count++;
         }
     }
-    this->result.first_ms = counted > 0 ? waited_ms / counted : 0;
+    this->result.first_quarantine_ms = count > 0 ? delay_ms / count : 0;
 }
 
 static void
-clear(Play_t *this)
+free_state(CrashReplay_t *this)
 {
     for (guint i = 0; i < this->spec.routers; i++) {
         CrashTable_destroy(this->tables[i]);
-        g_hash_table_destroy(this->seen[i]);
+        g_hash_table_destroy(this->completed[i]);
     }
-    g_hash_table_destroy(this->tried);
-    g_free(this->seen);
+    g_hash_table_destroy(this->trials);
+    g_free(this->completed);
     for (guint i = 0; i < this->spec.engines; i++) {
         g_array_unref(this->engines[i].runs);
     }
     g_free(this->tables);
     g_free(this->engines);
-    g_free(this->deadly);
+    g_free(this->poison);
     g_sequence_free(this->events);
     g_rand_free(this->random);
 }
@@ -671,16 +691,16 @@
 CrashReplayResult_t
 CrashReplay_run(const CrashReplaySpec_t *spec)
 {
-    Play_t this = {.spec = *spec};
-    begin(&this);
+    CrashReplay_t this = {.spec = *spec};
+    create_state(&this);
     while (!g_sequence_is_empty(this.events)) {
         GSequenceIter *first = g_sequence_get_begin_iter(this.events);
         Event_t event = *(Event_t *)g_sequence_get(first);
         g_sequence_remove(first);
         this.now_ms = event.at_ms;
-        handle(&this, &event);
+        handle_event(&this, &event);
     }
-    sum_up(&this);
-    clear(&this);
+    fill_result(&this);
+    free_state(&this);
     return this.result;
 }
--- a/bench/CrashReplay.h
+++ b/bench/CrashReplay.h
@@ -3,28 +3,29 @@
 /**
  * DOC: CrashReplay
  *
- * Plays requests that make engines end, and engines that end by themselves,
- * against what is decided of crashes alone (CrashTable.h), in a time of its
- * own. Load pattern: some requests come again and again at any router, each
- * ends the engine that begins to run it, and takes all that runs there along;
- * the others are each tried a few times. An engine is back after some seconds
- * as another one.
+ * Simulates, in virtual time, how the decisions about crashes alone
+ * (CrashTable.h) handle poison requests and engines that fail by themselves.
+ * Load pattern: each poison request is sent repeatedly to random routers and
+ * crashes the engine that begins to run it, together with every other request
+ * running there. Harmless requests are retried a limited number of times. A
+ * crashed engine restarts after some seconds under a new incarnation.
  */
 #include <glib.h>
 
 /**
- * enum CrashMemory_t - who knows of a crash
- * @CRASH_MEMORY_NONE: nobody
- * @CRASH_MEMORY_OWN: the router that had a request there
- * @CRASH_MEMORY_STORE: all, once they have read it from a store that each of
- *     them asks every @poll_ms
- * @CRASH_MEMORY_KEEPER: one router for each request, which tells all once it
- *     is to be held back
- * @CRASH_MEMORY_ALL: all, as the router that had a request there tells them
+ * enum CrashMemory_t - which routers learn of a crash
+ * @CRASH_MEMORY_NONE: none
+ * @CRASH_MEMORY_LOCAL: only the router whose request ran on the engine
+ * @CRASH_MEMORY_STORE: all routers, from a store that each of them polls every
+ *     @poll_ms
+ * @CRASH_MEMORY_KEEPER: one router for each request, which broadcasts the
+ *     crashes once the request must be quarantined
+ * @CRASH_MEMORY_ALL: all routers, by a broadcast of the router whose request
+ *     ran on the engine
  */
 typedef enum {
     CRASH_MEMORY_NONE,
-    CRASH_MEMORY_OWN,
+    CRASH_MEMORY_LOCAL,
     CRASH_MEMORY_STORE,
     CRASH_MEMORY_KEEPER,
     CRASH_MEMORY_ALL,
@@ -32,36 +33,40 @@
 } CrashMemory_t;
 
 /**
- * struct CrashReplaySpec_t - a load, and what is decided of it
- * @seed: of all that is drawn
- * @duration_ms: in which requests come
- * @routers: how many
- * @engines: how many
- * @rate: proper requests a second
- * @run_ms: that one runs, on the mean
- * @popular_percent: of them that are one of @popular, the others come once
- * @popular: how many such
- * @deadly: requests that end engines
- * @deadly_rate: how often each of them comes a second
- * @begin_ms: until one has ended its engine, at the most
- * @attempts: of one try at the most
- * @tries: of one request at the most; each later one is a retry of its caller
- * @back_ms: until an engine is back
- * @lost_percent: of the engines end at once by themselves
- * @lost_times: so often
- * @lost_every_ms: so long after one another
- * @proof_ms: until a router knows that an engine has ended
- * @news_ms: until others have heard what it tells
+ * struct CrashReplaySpec_t - the load and the rules of quarantine
+ * @seed: of the random numbers
+ * @duration_ms: time in which new requests arrive
+ * @routers: number of routers
+ * @engines: number of engines
+ * @rate: harmless requests a second
+ * @run_ms: mean run time of a harmless request
+ * @repeated_percent: share of harmless requests drawn from @repeated_count
+ *     recurring ones; every other one is sent by its caller only once
+ * @repeated_count: number of recurring harmless requests
+ * @poison_count: number of poison requests
+ * @poison_rate: arrivals of each poison request a second
+ * @crash_delay_max_ms: longest time until a poison request crashes its engine
+ * @attempts: attempts that a router makes of one try at most
+ * @tries: tries of one request at most; each one after the first is a retry
+ *     by its caller
+ * @restart_ms: time until a crashed engine is up again
+ * @outage_percent: share of the engines that fail together by themselves
+ * @outage_count: number of such outages
+ * @outage_interval_ms: time between two outages
+ * @crash_detect_ms: time until a router knows that an engine has crashed
+ * @update_delay_ms: time until a broadcast reaches the other routers
  * @poll_ms: see CRASH_MEMORY_STORE
- * @memory: who knows of a crash
- * @held_at: crashes that hold a request back
- * @no_clearing: one that comes through is not let go
- * @explained_at: crashes that hold a request back though other requests that
- *     are held back ran there as well; 0 where those count like any
- * @remember_ms: a router that has seen one come through so long before takes
- *     its crashes back, once for all routers; 0 for never
- * @trial_ms: so long after the last crash one router sends what is held back
- *     once more; 0 for never
+ * @memory: which routers learn of a crash
+ * @quarantine_at: number of crashes that quarantines a request
+ * @keep_after_success: a request that completes stays in quarantine
+ * @explained_below: below this number of crashes, a crash under a request
+ *     does not count if it also happened under another quarantined request
+ *     with more crashes; 0 to count every crash
+ * @success_memory_ms: time for which a router remembers that a request
+ *     completed; within it, a request that reaches quarantine has its crashes
+ *     voided at all routers, once; 0 to disable
+ * @trial_delay_ms: time after the last crash at which one router sends a
+ *     quarantined request once more; 0 to disable
  */
 typedef struct {
     guint32 seed;
@@ -70,69 +75,69 @@
     guint engines;
     double rate;
     double run_ms;
-    guint popular_percent;
-    guint popular;
-    guint deadly;
-    double deadly_rate;
-    gint64 begin_ms;
+    guint repeated_percent;
+    guint repeated_count;
+    guint poison_count;
+    double poison_rate;
+    gint64 crash_delay_max_ms;
     guint attempts;
     guint tries;
-    gint64 back_ms;
-    guint lost_percent;
-    guint lost_times;
-    gint64 lost_every_ms;
-    gint64 proof_ms;
-    gint64 news_ms;
+    gint64 restart_ms;
+    guint outage_percent;
+    guint outage_count;
+    gint64 outage_interval_ms;
+    gint64 crash_detect_ms;
+    gint64 update_delay_ms;
     gint64 poll_ms;
     CrashMemory_t memory;
-    guint held_at;
-    gboolean no_clearing;
-    guint explained_at;
-    gint64 remember_ms;
-    gint64 trial_ms;
+    guint quarantine_at;
+    gboolean keep_after_success;
+    guint explained_below;
+    gint64 success_memory_ms;
+    gint64 trial_delay_ms;
 } CrashReplaySpec_t;
 
 /**
- * struct CrashReplayResult_t - what became of it
- * @proper: proper requests
- * @served: of them
- * @refused: tries of proper requests that were held back
- * @refused_popular: of them those of requests that come again and again
- * @unserved: proper requests that were not served and whose last try was held
- *     back
- * @ended: engines that ended under deadly requests
- * @ended_most: under the one that ended most
- * @late_most: times that one was sent later than CRASH_REPLAY_CONTACT_MS after
- *     its third crash, of the one with most
- * @messages: between routers, or to a store
- * @first_ms: from the third crash of a deadly request to the first of it that
- *     another router held back, on the mean
+ * struct CrashReplayResult_t - counts of one replay
+ * @harmless_requests: harmless requests that arrived
+ * @served: harmless requests that completed
+ * @refused: tries of harmless requests that were refused for quarantine
+ * @refused_repeated: part of @refused that fell on recurring requests
+ * @unserved: harmless requests whose last try was refused for quarantine
+ * @crashes: engines crashed by poison requests
+ * @crashes_max: engines crashed by the poison request that crashed most
+ * @late_max: times that a poison request was sent later than
+ *     CRASH_REPLAY_PROPAGATION_MAX_MS after its third crash; the maximum over
+ *     all poison requests
+ * @messages: messages between routers, or to the store
+ * @first_quarantine_ms: mean time from the third crash of a poison request
+ *     until a router other than the one that saw the crash first refuses it
  */
 typedef struct {
-    guint proper;
+    guint harmless_requests;
     guint served;
     guint refused;
-    guint refused_popular;
+    guint refused_repeated;
     guint unserved;
-    guint ended;
-    guint ended_most;
-    guint late_most;
+    guint crashes;
+    guint crashes_max;
+    guint late_max;
     guint64 messages;
-    double first_ms;
+    double first_quarantine_ms;
 } CrashReplayResult_t;
 
-/** Routers have so long to hear of a third crash, in ms */
-#define CRASH_REPLAY_CONTACT_MS 3000
+/** Time in which all routers must know of a third crash, in ms */
+#define CRASH_REPLAY_PROPAGATION_MAX_MS 3000
 
-/** CrashReplaySpec_default() - eight routers and nine engines at 60 requests a
- * second, one deadly request five times a second; nobody remembers
- * crashes */
+/** CrashReplaySpec_default() - eight routers, nine engines, 60 harmless
+ * requests a second and one poison request sent five times a second; no
+ * router learns of crashes */
 CrashReplaySpec_t CrashReplaySpec_default(guint32 seed);
 
-/** CrashReplay_run() - play it */
+/** CrashReplay_run() - run the simulation to its end */
 CrashReplayResult_t CrashReplay_run(const CrashReplaySpec_t *spec);
 
-/** CrashReplay_memoryName() - of who knows, for tables */
-const char *CrashReplay_memoryName(CrashMemory_t memory);
+/** CrashReplay_formatMemory() - name of a CrashMemory_t for tables */
+const char *CrashReplay_formatMemory(CrashMemory_t memory);
 
 #endif
--- a/bench/LoadStream.h
+++ b/bench/LoadStream.h
@@ -3,9 +3,9 @@
 /**
  * DOC: LoadStream
  *
- * One streamed request of the load tool, measured from the moment at which
- * it was due, and checked token by token against the answer that its prompt
- * must have.
+ * One streamed request of the load tool. Times count from the moment at which
+ * the request was due, and each token is compared with the answer that the
+ * engine stand-in must give to the prompt.
  */
 #include <event2/event.h>
 #include <glib.h>
@@ -14,25 +14,28 @@
 #include "Workload.h"
 
 /**
- * struct Results_t - what a run has measured; times in microseconds
- * @first_token: from the due time to the first token
- * @gaps: between tokens
- * @whole: streams that were whole and right
- * @broken: streams that ended early with an error event or a cut
+ * struct LoadResults_t - measurements of a run; times in microseconds
+ * @first_token: time from the due time to the first token
+ * @gaps: time between two tokens
+ * @asked: requests sent
+ * @complete: streams that were complete and had only expected tokens
+ * @broken: streams that ended early with an error event or a closed
+ *     connection
  * @wrong: streams with a token that was not the expected one
- * @refused: by reason
- * @late: whole streams whose deadline had passed
- * @tokens: received
+ * @refused: requests answered with an HTTP status other than 200
+ * @late: complete streams that ended after their deadline
+ * @tokens: tokens received
  * @urgent_asked: requests of the top priority
- * @urgent_in_time: of these, whole within the deadline
- * @samples: due time and first token's delay of each whole stream, guint64
- *     pairs
+ * @urgent_in_time: urgent requests that were complete within the deadline
+ * @reasons: number of refused and broken streams by error code
+ * @samples: due time and delay of the first token of each complete stream, as
+ *     pairs of guint64
  */
 typedef struct {
     Histogram_t first_token;
     Histogram_t gaps;
     guint64 asked;
-    guint64 whole;
+    guint64 complete;
     guint64 broken;
     guint64 wrong;
     guint64 refused;
@@ -42,17 +45,17 @@
     guint64 urgent_in_time;
     GHashTable *reasons; /* code -> count */
     GArray *samples;
-} Results_t;
+} LoadResults_t;
 
 /**
- * struct LoadTarget_t - whom to ask
- * @base: the loop
- * @host: IP number
+ * struct LoadTarget_t - server that receives requests, and their headers
+ * @base: event loop
+ * @host: IP address
  * @port: TCP port
- * @authorization: header's value
- * @direct: an engine is asked itself, without a router
- * @deadline_ms: sent with the request, 0 for none
- * @priority: sent with urgent requests, or NULL
+ * @authorization: value of the Authorization header
+ * @direct: the target is an engine rather than a router
+ * @deadline_ms: value of X-Request-Deadline-Ms, 0 to omit it
+ * @priority: value of X-Priority, or NULL to omit it
  */
 typedef struct {
     struct event_base *base;
@@ -64,15 +67,15 @@
     const char *priority;
 } LoadTarget_t;
 
-/** LoadDone_t - called once for each stream */
-typedef void (*LoadDone_t)(void *data);
+/** LoadDoneHandler_t - called once when a stream has ended */
+typedef void (*LoadDoneHandler_t)(void *data);
 
 /**
- * LoadStream_start() - ask; takes @asked over
- * @due_us: when it was to be asked, monotonic
+ * LoadStream_start() - send a request; takes ownership of @request
+ * @due_us: time at which the request was due, monotonic
  */
-void LoadStream_start(const LoadTarget_t *target, Asked_t *asked,
-                      gint64 due_us, Results_t *results, LoadDone_t done,
-                      void *data);
+void LoadStream_start(const LoadTarget_t *target, LoadRequest_t *request,
+                      gint64 due_us, LoadResults_t *results,
+                      LoadDoneHandler_t done, void *data);
 
 #endif
--- a/bench/Replay.c
+++ b/bench/Replay.c
@@ -17,36 +17,36 @@
 #define REGION "r"
 #define WEIGHTS "1"
 #define US_PER_S 1000000.0
-/* Time 0 stands for none. */
-#define BEGIN_US ((gint64)1000000)
-/* Identities of prefixes lie all around, as hashes do. */
-#define IDENTITY_SPREAD G_GUINT64_CONSTANT(0x9E3779B97F4A7C15)
-/* Times that a caller comes back, and attempts of one request. */
-#define RETURNS 1
-#define ATTEMPTS 2
-/* After the last request came: longer than any caller waits. */
-#define END_MS 60000
-/* What a late answer counts. */
-#define LATE_WORTH 0.3
-/* Where the slots of engines are not looked at. */
-#define SLOTS_UNKNOWN (1 << 20)
+/* The replay starts after 0, which stands for no time. */
+#define START_US ((gint64)1000000)
+/* Spreads the ids of prefixes over 64 bits, as hashes are. */
+#define PREFIX_ID_FACTOR G_GUINT64_CONSTANT(0x9E3779B97F4A7C15)
+/* Retries by the caller after a refusal, and attempts of one request. */
+#define RETRIES_MAX 1
+#define ATTEMPTS_MAX 2
+/* Time after the last arrival; longer than any caller waits. */
+#define DRAIN_MS 60000
+/* Value of a late answer; an answer in time has the value 1. */
+#define LATE_VALUE 0.3
+/* Slots in the estimates if REPLAY_SLOTS is off. */
+#define SLOTS_UNLIMITED (1 << 20)
 
 typedef enum {
     EVENT_ARRIVAL,
     EVENT_STEP,
-    EVENT_BEGUN,
-    EVENT_ENDED,
+    EVENT_FIRST_TOKEN,
+    EVENT_COMPLETE,
     EVENT_DEADLINE,
     EVENT_SILENT,
-    EVENT_NOTICED,
-    EVENT_SPEAKS,
+    EVENT_SUSPECTED,
+    EVENT_RESUMED,
 } EventKind_t;
 
 typedef struct {
     gint64 at_us;
-    guint64 order; /* of those at the same time */
+    guint64 order; /* breaks ties between events at the same time */
     EventKind_t kind;
-    guint which; /* request or engine */
+    guint index; /* of a request or an engine */
 } Event_t;
 
 typedef struct {
@@ -55,7 +55,7 @@
     guint shared_tokens;
     guint own_tokens;
     guint out_tokens;
-    gint64 asked_us; /* first try */
+    gint64 asked_us; /* first arrival */
     gint64 sent_us;
     gint64 first_us;
     gint64 token_us;
@@ -63,17 +63,17 @@
     gint64 expected_us;
     guint64 ticket;
     guint engine;
-    guint returns;
+    guint retries;
     guint attempts;
-    gboolean placed;
-    gboolean over;
+    gboolean is_placed;
+    gboolean is_over;
 } Request_t;
 
 typedef struct {
     ReplayEngine_t *model;
     Upstream_t *upstream;
-    gboolean stepping;
-    gboolean silent;
+    gboolean is_stepping;
+    gboolean is_silent;
 } Engine_t;
 
 typedef struct {
@@ -86,21 +86,21 @@
     GArray *requests; /* Request_t */
     GArray *engines;  /* Engine_t */
     GPtrArray *serving;
-    GHashTable *by_upstream;      /* Upstream_t -> number of the engine */
-    GHashTable *read;             /* set of prefixes that were read once */
-    GArray *firsts[REPLAY_KINDS]; /* gint64 */
+    GHashTable *by_upstream;   /* Upstream_t -> index of the engine */
+    GHashTable *prefixes_read; /* set of prefix ids */
+    GArray *first_token_waits[REPLAY_KINDS_MAX]; /* gint64 */
     Policy_t *policy;
     Tickets_t *tickets;
     EstimateError_t *estimate_error;
-    GPtrArray *stores; /* CacheStore_t, as the dispatcher of each group sees */
+    GPtrArray *stores; /* CacheStore_t of the dispatcher of each group */
     struct event_base *base;
     guint64 next_ticket;
     gint64 now_us;
-    double decided_us;
+    double decision_total_us;
 } Replay_t;
 
 static gboolean
-is_on(const Replay_t *this, ReplayDecision_t decision)
+is_enabled(const Replay_t *this, ReplayDecision_t decision)
 {
     return (this->decisions & (guint)decision) != 0;
 }
@@ -113,71 +113,71 @@
 }
 
 static Event_t *
-event_at(const Replay_t *this, guint place)
+event_at(const Replay_t *this, guint index)
 {
-    return &g_array_index(this->events, Event_t, place);
+    return &g_array_index(this->events, Event_t, index);
 }
 
 static void
-swap(const Replay_t *this, guint left, guint right)
+swap_events(const Replay_t *this, guint left, guint right)
 {
-    Event_t held = *event_at(this, left);
+    Event_t copy = *event_at(this, left);
     *event_at(this, left) = *event_at(this, right);
-    *event_at(this, right) = held;
+    *event_at(this, right) = copy;
 }
 
 static void
-add_event(Replay_t *this, gint64 at_us, EventKind_t kind, guint which)
+add_event(Replay_t *this, gint64 at_us, EventKind_t kind, guint index)
 {
-    Event_t event = {at_us, this->order++, kind, which};
+    Event_t event = {at_us, this->order++, kind, index};
     g_array_append_val(this->events, event);
-    guint place = this->events->len - 1;
-    while (place > 0 &&
-           is_before(event_at(this, place), event_at(this, (place - 1) / 2))) {
-        swap(this, place, (place - 1) / 2);
-        place = (place - 1) / 2;
+    guint heap_index = this->events->len - 1;
+    while (heap_index > 0 && is_before(event_at(this, heap_index),
+                                       event_at(this, (heap_index - 1) / 2))) {
+        swap_events(this, heap_index, (heap_index - 1) / 2);
+        heap_index = (heap_index - 1) / 2;
     }
 }
 
 static guint
-earliest_below(const Replay_t *this, guint place)
+find_earliest(const Replay_t *this, guint index)
 {
-    guint least = place;
-    for (guint child = 2 * place + 1;
-         child <= 2 * place + 2 && child < this->events->len; child++) {
-        if (is_before(event_at(this, child), event_at(this, least))) {
-            least = child;
+    guint earliest = index;
+    for (guint child = 2 * index + 1;
+         child <= 2 * index + 2 && child < this->events->len; child++) {
+        if (is_before(event_at(this, child), event_at(this, earliest))) {
+            earliest = child;
         }
     }
-    return least;
+    return earliest;
 }
 
 static Event_t
-take_event(Replay_t *this)
+pop_event(Replay_t *this)
 {
     Event_t first = *event_at(this, 0);
-    swap(this, 0, this->events->len - 1);
+    swap_events(this, 0, this->events->len - 1);
     g_array_set_size(this->events, this->events->len - 1);
-    guint place = 0;
-    guint least = earliest_below(this, place);
-    while (least != place) {
-        swap(this, place, least);
-        place = least;
-        least = earliest_below(this, place);
+    guint index = 0;
+    guint earliest = find_earliest(this, index);
+    while (earliest != index) {
+        swap_events(this, index, earliest);
+        index = earliest;
+        earliest = find_earliest(this, index);
     }
     return first;
 }
 
 static Request_t *
-request_at(const Replay_t *this, guint which)
+request_at(const Replay_t *this, guint index)
 {
-    return &g_array_index(this->requests, Request_t, which);
+    return &g_array_index(this->requests, Request_t, index);
 }
 
 static Engine_t *
-engine_at(const Replay_t *this, guint which)
+engine_at(const Replay_t *this, guint index)
 {
-    return &g_array_index(this->engines, Engine_t, which);
+    return &g_array_index(this->engines, Engine_t, index);
 }
 
 static const ReplayKind_t *
@@ -192,7 +192,7 @@
     return &this->result->kinds[request->kind];
 }
 
-/* Lengths as they come in practice: some are several times the mean. */
+/* Draws a length; as in practice, some are several times the mean. */
 static guint
 draw_length(const Replay_t *this, gint64 mean)
 {
@@ -200,7 +200,7 @@
     return (guint)MAX((double)mean * (0.25 + 0.75 * drawn), 1);
 }
 
-/* The length of a prefix is its own, whoever asks for it. */
+/* The length depends on the prefix alone, so all its requests agree on it. */
 static guint
 prefix_length(guint64 prefix, gint64 mean)
 {
@@ -218,7 +218,7 @@
         (guint32)g_rand_int_range(this->random, 0, (gint32)spec->prefixes);
     Request_t request = {
         .kind = kind,
-        .prefix = (((guint64)(kind + 1) << 32) + number) * IDENTITY_SPREAD,
+        .prefix = (((guint64)(kind + 1) << 32) + number) * PREFIX_ID_FACTOR,
         .own_tokens = draw_length(this, spec->own_tokens),
         .out_tokens = draw_length(this, spec->out_tokens),
         .asked_us = at_us,
@@ -233,10 +233,10 @@
 static void
 draw_requests(Replay_t *this)
 {
-    gint64 end_us = BEGIN_US + this->spec->fleet.duration_ms * CLOCK_US_PER_MS;
-    for (guint kind = 0; kind < REPLAY_KINDS; kind++) {
+    gint64 end_us = START_US + this->spec->fleet.duration_ms * CLOCK_US_PER_MS;
+    for (guint kind = 0; kind < REPLAY_KINDS_MAX; kind++) {
         gint64 rate = this->spec->kinds[kind].rate;
-        double at_us = (double)BEGIN_US;
+        double at_us = (double)START_US;
         while (rate > 0) {
             at_us -=
                 log(1 - g_rand_double(this->random)) * US_PER_S / (double)rate;
@@ -249,7 +249,7 @@
 }
 
 static Placement_t
-placement_of(const Replay_t *this, const Request_t *request, guint which)
+create_placement(const Replay_t *this, const Request_t *request, guint index)
 {
     const ReplayFleet_t *fleet = &this->spec->fleet;
     gint64 spread_us = EstimateError_spreadUs(this->estimate_error, TARGET);
@@ -258,14 +258,14 @@
         .serving = this->serving,
         .generation = 1,
         .level_count = 2,
-        .levels = {request->prefix, which + 1},
+        .levels = {request->prefix, index + 1},
         .level_tokens = {request->shared_tokens,
                          request->shared_tokens + request->own_tokens},
         .prompt_tokens = request->shared_tokens + request->own_tokens,
         .hall = HALL,
         .region = REGION,
         .cache_tokens =
-            is_on(this, REPLAY_MEMORY) ? (guint)fleet->cache_tokens : 0,
+            is_enabled(this, REPLAY_MEMORY) ? (guint)fleet->cache_tokens : 0,
         .latest_us = MAX(
             LoadShed_latestUs(kind_of(this, request)->objective_ms, spread_us),
             1),
@@ -274,9 +274,9 @@
     };
 }
 
-/* The choice of a group's dispatcher. */
+/* Chooses an upstream as the dispatcher of a group does. */
 static Choice_t
-choose_of_group(const Replay_t *this, Placement_t *placement, guint group)
+choose_in_group(const Replay_t *this, Placement_t *placement, guint group)
 {
     if (this->spec->fleet.store_us > 0) {
         placement->cache_store = g_ptr_array_index(this->stores, group);
@@ -285,10 +285,10 @@
 }
 
 static Choice_t
-choose(const Replay_t *this, Placement_t *placement)
+choose_upstream(const Replay_t *this, Placement_t *placement)
 {
     guint group = Policy_choose(this->policy, placement).group;
-    return choose_of_group(this, placement, group);
+    return choose_in_group(this, placement, group);
 }
 
 static double
@@ -300,48 +300,47 @@
 }
 
 static Choice_t
-decide(Replay_t *this, Placement_t *placement)
+time_choice(Replay_t *this, Placement_t *placement)
 {
     double before_us = cpu_us();
-    Choice_t choice = choose(this, placement);
-    this->decided_us += cpu_us() - before_us;
+    Choice_t choice = choose_upstream(this, placement);
+    this->decision_total_us += cpu_us() - before_us;
     this->result->decisions++;
     return choice;
 }
 
-/* Counts it where it belongs. */
 static void
-end_request(Request_t *request, guint *count)
+finish_request(Request_t *request, guint *count)
 {
-    request->over = TRUE;
+    request->is_over = TRUE;
     (*count)++;
 }
 
 static void
-wake(Replay_t *this, guint which)
+start_step(Replay_t *this, guint index)
 {
-    Engine_t *engine = engine_at(this, which);
-    if (engine->stepping || engine->silent ||
+    Engine_t *engine = engine_at(this, index);
+    if (engine->is_stepping || engine->is_silent ||
         ReplayEngine_isIdle(engine->model)) {
         return;
     }
-    engine->stepping = TRUE;
+    engine->is_stepping = TRUE;
     gint64 step_us = ReplayEngine_step(engine->model, this->now_us);
-    add_event(this, this->now_us + step_us, EVENT_STEP, which);
+    add_event(this, this->now_us + step_us, EVENT_STEP, index);
 }
 
 static Engine_t *
 engine_of(const Replay_t *this, const Upstream_t *upstream)
 {
-    gpointer which = g_hash_table_lookup(this->by_upstream, upstream);
-    return engine_at(this, GPOINTER_TO_UINT(which));
+    gpointer index = g_hash_table_lookup(this->by_upstream, upstream);
+    return engine_at(this, GPOINTER_TO_UINT(index));
 }
 
-/* Until the prefix is taken from where the engine is told to look; 0 where it
- * is not there. The same places as a router names. */
+/* Returns the time to fetch the prefix from the supply that the router names
+ * to the engine; 0 if the prefix is not there. */
 static gint64
-fetch_us(const Replay_t *this, const Request_t *request,
-         const Choice_t *choice)
+compute_fetch_us(const Replay_t *this, const Request_t *request,
+                 const Choice_t *choice)
 {
     const ReplayFleet_t *fleet = &this->spec->fleet;
     const Supply_t *supply = &choice->supply;
@@ -349,117 +348,120 @@
         return 0;
     }
     if (supply->kind != SUPPLY_ENGINE && fleet->store_us > 0) {
-        return g_hash_table_contains(this->read, &request->prefix)
+        return g_hash_table_contains(this->prefixes_read, &request->prefix)
                    ? fleet->store_us
                    : 0;
     }
     return supply->source &&
-                   ReplayEngine_holds(engine_of(this, supply->source)->model,
-                                      request->prefix)
+                   ReplayEngine_hasPrefix(
+                       engine_of(this, supply->source)->model, request->prefix)
                ? fleet->move_us
                : 0;
 }
 
-/* Each prefix that was read is saved, as by the request that reads it. */
+/* Reports the prefix to the stores as saved, as the request that reads it
+ * does. */
 static void
 note_read(Replay_t *this, const Request_t *request, const ReplayWork_t *work)
 {
     const Upstream_t *upstream = engine_at(this, request->engine)->upstream;
-    guint64 kept = CacheStore_prefix(request->prefix, upstream->weights);
+    guint64 stored_prefix =
+        CacheStore_prefix(request->prefix, upstream->weights);
     for (guint i = 0; i < this->stores->len; i++) {
-        CacheStore_receiveSaved(g_ptr_array_index(this->stores, i), kept,
-                                Clock_nowMs());
+        CacheStore_receiveSaved(g_ptr_array_index(this->stores, i),
+                                stored_prefix, Clock_nowMs());
     }
     if (work->computed &&
-        !g_hash_table_add(this->read,
+        !g_hash_table_add(this->prefixes_read,
                           g_memdup2(&work->prefix, sizeof(work->prefix)))) {
-        this->result->again_tokens += work->shared_tokens;
+        this->result->reread_tokens += work->shared_tokens;
     }
 }
 
 static void
-send_to(Replay_t *this, guint which, const Placement_t *placement,
+send_to(Replay_t *this, guint index, const Placement_t *placement,
         const Choice_t *choice)
 {
-    Request_t *request = request_at(this, which);
-    gint64 move_us = fetch_us(this, request, choice);
+    Request_t *request = request_at(this, index);
+    gint64 fetch_us = compute_fetch_us(this, request, choice);
     ReplayWork_t work = {
-        .id = which,
+        .id = index,
         .prefix = request->prefix,
         .shared_tokens = request->shared_tokens,
         .own_tokens = request->own_tokens,
         .out_tokens = request->out_tokens,
-        .fetched = move_us > 0,
-        .ready_us = this->now_us + move_us,
+        .fetched = fetch_us > 0,
+        .ready_us = this->now_us + fetch_us,
     };
     request->sent_us = this->now_us;
     request->expected_us = choice->cost_us;
     request->ticket = ++this->next_ticket;
     request->engine = GPOINTER_TO_UINT(
         g_hash_table_lookup(this->by_upstream, choice->upstream));
-    request->placed = TRUE;
+    request->is_placed = TRUE;
     request->attempts++;
     Tickets_add(this->tickets, request->ticket, placement, choice);
     Policy_commit(this->policy, placement, choice);
     ReplayEngine_send(engine_at(this, request->engine)->model,
                       g_memdup2(&work, sizeof(work)));
-    wake(this, request->engine);
+    start_step(this, request->engine);
 }
 
 static void
-refuse(Replay_t *this, guint which, guint retry_after_ms)
+refuse(Replay_t *this, guint index, guint retry_after_ms)
 {
-    Request_t *request = request_at(this, which);
-    if (request->returns >= RETURNS) {
-        end_request(request, &count_of(this, request)->refused);
+    Request_t *request = request_at(this, index);
+    if (request->retries >= RETRIES_MAX) {
+        finish_request(request, &count_of(this, request)->refused);
         return;
     }
-    request->returns++;
+    request->retries++;
     add_event(this, this->now_us + (gint64)retry_after_ms * CLOCK_US_PER_MS,
-              EVENT_ARRIVAL, which);
+              EVENT_ARRIVAL, index);
 }
 
 static gint64
-left_ms(const Replay_t *this, const Request_t *request)
+remaining_ms(const Replay_t *this, const Request_t *request)
 {
-    gint64 passed_ms = (this->now_us - request->asked_us) / CLOCK_US_PER_MS;
-    return kind_of(this, request)->deadline_ms - passed_ms;
+    gint64 elapsed_ms = (this->now_us - request->asked_us) / CLOCK_US_PER_MS;
+    return kind_of(this, request)->deadline_ms - elapsed_ms;
 }
 
 static LoadShedDecision_t
-plan_of(const Replay_t *this, const Request_t *request, const Choice_t *choice)
+decide_admission(const Replay_t *this, const Request_t *request,
+                 const Choice_t *choice)
 {
-    LoadShedInput_t facts = {
+    LoadShedInput_t input = {
         .expected_us = choice->cost_us,
         .own_us = choice->own_us,
         .spread_us = EstimateError_spreadUs(this->estimate_error, TARGET),
-        .objective_ms = is_on(this, REPLAY_SHED)
+        .objective_ms = is_enabled(this, REPLAY_SHED)
                             ? kind_of(this, request)->objective_ms
                             : 0,
-        .left_ms = left_ms(this, request),
+        .left_ms = remaining_ms(this, request),
     };
-    return LoadShed_decide(&facts);
+    return LoadShed_decide(&input);
 }
 
 static void
-on_arrival(Replay_t *this, guint which)
+on_arrival(Replay_t *this, guint index)
 {
-    Request_t *request = request_at(this, which);
-    if (request->over) {
+    Request_t *request = request_at(this, index);
+    if (request->is_over) {
         return;
     }
-    Placement_t placement = placement_of(this, request, which);
-    Choice_t choice = decide(this, &placement);
+    Placement_t placement = create_placement(this, request, index);
+    Choice_t choice = time_choice(this, &placement);
     if (!choice.upstream) {
-        end_request(request, &count_of(this, request)->failed);
+        finish_request(request, &count_of(this, request)->failed);
         return;
     }
-    LoadShedDecision_t plan = plan_of(this, request, &choice);
-    if (plan.admitted || request->attempts > 0) {
-        send_to(this, which, &placement, &choice);
+    LoadShedDecision_t decision = decide_admission(this, request, &choice);
+    if (decision.admitted || request->attempts > 0) {
+        send_to(this, index, &placement, &choice);
     }
     else {
-        refuse(this, which, plan.retry_after_ms);
+        refuse(this, index, decision.retry_after_ms);
     }
 }
 
@@ -476,8 +478,9 @@
     request->first_us = now_us;
     request->token_us = now_us;
     note_read(this, request, work);
-    add_event(this, now_us + this->spec->fleet.news_ms * CLOCK_US_PER_MS,
-              EVENT_BEGUN, work->id);
+    add_event(this,
+              now_us + this->spec->fleet.update_delay_ms * CLOCK_US_PER_MS,
+              EVENT_FIRST_TOKEN, work->id);
 }
 
 static gboolean
@@ -495,45 +498,47 @@
     Replay_t *this = owner;
     Request_t *request = request_at(this, id);
     ReplayCount_t *count = count_of(this, request);
-    gint64 waited_us = request->first_us - request->asked_us;
-    end_request(request,
-                is_in_time(this, request) ? &count->in_time : &count->late);
-    g_array_append_val(this->firsts[request->kind], waited_us);
-    add_event(this, now_us + this->spec->fleet.news_ms * CLOCK_US_PER_MS,
-              EVENT_ENDED, id);
+    gint64 wait_us = request->first_us - request->asked_us;
+    finish_request(request,
+                   is_in_time(this, request) ? &count->in_time : &count->late);
+    g_array_append_val(this->first_token_waits[request->kind], wait_us);
+    add_event(this,
+              now_us + this->spec->fleet.update_delay_ms * CLOCK_US_PER_MS,
+              EVENT_COMPLETE, id);
 }
 
-static const ReplayEvents_t engine_events = {
+static const ReplayEngineHandlers_t engine_handlers = {
     .token = on_token,
     .done = on_done,
 };
 
 static void
-on_begun(Replay_t *this, guint which)
+on_first_token_known(Replay_t *this, guint index)
 {
-    const Request_t *request = request_at(this, which);
-    gint64 waited_us = request->first_us - request->sent_us;
+    const Request_t *request = request_at(this, index);
+    gint64 wait_us = request->first_us - request->sent_us;
     Tickets_noteFirstToken(this->tickets, request->ticket, this->policy,
-                           waited_us, Clock_nowMs());
+                           wait_us, Clock_nowMs());
     EstimateError_noteFirst(this->estimate_error, TARGET, request->expected_us,
-                            waited_us);
+                            wait_us);
 }
 
-/* It is not known at once that an engine says nothing; what it had not begun
- * by then goes elsewhere. */
+/* Retries the requests of a silent engine on other upstreams once the silence
+ * is noticed. Requests that had a first token or no attempts left fail. */
 static void
-send_elsewhere(Replay_t *this, guint engine)
+retry_on_others(Replay_t *this, guint engine)
 {
     for (guint i = 0; i < this->requests->len; i++) {
         Request_t *request = request_at(this, i);
-        if (!request->placed || request->over || request->engine != engine) {
+        if (!request->is_placed || request->is_over ||
+            request->engine != engine) {
             continue;
         }
         Tickets_end(this->tickets, request->ticket);
         ReplayEngine_cancel(engine_at(this, engine)->model, i);
-        request->placed = FALSE;
-        if (request->first_us > 0 || request->attempts >= ATTEMPTS) {
-            end_request(request, &count_of(this, request)->failed);
+        request->is_placed = FALSE;
+        if (request->first_us > 0 || request->attempts >= ATTEMPTS_MAX) {
+            finish_request(request, &count_of(this, request)->failed);
         }
         else {
             on_arrival(this, i);
@@ -542,97 +547,97 @@
 }
 
 static void
-on_step(Replay_t *this, guint which)
+on_step(Replay_t *this, guint index)
 {
-    Engine_t *engine = engine_at(this, which);
-    engine->stepping = FALSE;
-    if (!engine->silent) {
+    Engine_t *engine = engine_at(this, index);
+    engine->is_stepping = FALSE;
+    if (!engine->is_silent) {
         ReplayEngine_finish(engine->model, this->now_us);
-        wake(this, which);
+        start_step(this, index);
     }
 }
 
 static void
-on_deadline(Replay_t *this, guint which)
+on_deadline(Replay_t *this, guint index)
 {
-    Request_t *request = request_at(this, which);
-    if (request->over) {
+    Request_t *request = request_at(this, index);
+    if (request->is_over) {
         return;
     }
-    if (request->placed) {
-        ReplayEngine_cancel(engine_at(this, request->engine)->model, which);
+    if (request->is_placed) {
+        ReplayEngine_cancel(engine_at(this, request->engine)->model, index);
         Tickets_end(this->tickets, request->ticket);
     }
-    end_request(request, &count_of(this, request)->failed);
+    finish_request(request, &count_of(this, request)->failed);
 }
 
 static void
-set_suspect(Replay_t *this, guint which, gboolean suspect)
+set_suspect(Replay_t *this, guint index, gboolean suspect)
 {
-    engine_at(this, which)->upstream->suspect = suspect;
+    engine_at(this, index)->upstream->suspect = suspect;
 }
 
 static void
-take(Replay_t *this, const Event_t *event)
+handle_event(Replay_t *this, const Event_t *event)
 {
     switch (event->kind) {
     case EVENT_ARRIVAL:
-        on_arrival(this, event->which);
+        on_arrival(this, event->index);
         break;
     case EVENT_STEP:
-        on_step(this, event->which);
+        on_step(this, event->index);
         break;
-    case EVENT_BEGUN:
-        on_begun(this, event->which);
+    case EVENT_FIRST_TOKEN:
+        on_first_token_known(this, event->index);
         break;
-    case EVENT_ENDED:
-        Tickets_end(this->tickets, request_at(this, event->which)->ticket);
+    case EVENT_COMPLETE:
+        Tickets_end(this->tickets, request_at(this, event->index)->ticket);
         break;
     case EVENT_DEADLINE:
-        on_deadline(this, event->which);
+        on_deadline(this, event->index);
         break;
     case EVENT_SILENT:
-        engine_at(this, event->which)->silent = TRUE;
+        engine_at(this, event->index)->is_silent = TRUE;
         break;
-    case EVENT_NOTICED:
-        set_suspect(this, event->which, TRUE);
-        send_elsewhere(this, event->which);
+    case EVENT_SUSPECTED:
+        set_suspect(this, event->index, TRUE);
+        retry_on_others(this, event->index);
         break;
-    case EVENT_SPEAKS:
-        engine_at(this, event->which)->silent = FALSE;
-        set_suspect(this, event->which, FALSE);
-        wake(this, event->which);
+    case EVENT_RESUMED:
+        engine_at(this, event->index)->is_silent = FALSE;
+        set_suspect(this, event->index, FALSE);
+        start_step(this, event->index);
         break;
     }
 }
 
 static void
-add_silence(Replay_t *this, guint which)
+schedule_silence(Replay_t *this, guint index)
 {
     const ReplayFleet_t *fleet = &this->spec->fleet;
-    gint64 from_us = BEGIN_US + fleet->silent_from_ms * CLOCK_US_PER_MS;
-    gint64 until_us = BEGIN_US + fleet->silent_until_ms * CLOCK_US_PER_MS;
+    gint64 from_us = START_US + fleet->silent_from_ms * CLOCK_US_PER_MS;
+    gint64 until_us = START_US + fleet->silent_until_ms * CLOCK_US_PER_MS;
     if (until_us <= from_us ||
         g_rand_int_range(this->random, 0, 100) >= fleet->silent_percent) {
         return;
     }
-    add_event(this, from_us, EVENT_SILENT, which);
-    add_event(this, from_us + fleet->noticed_ms * CLOCK_US_PER_MS,
-              EVENT_NOTICED, which);
-    add_event(this, until_us, EVENT_SPEAKS, which);
+    add_event(this, from_us, EVENT_SILENT, index);
+    add_event(this, from_us + fleet->silence_detect_ms * CLOCK_US_PER_MS,
+              EVENT_SUSPECTED, index);
+    add_event(this, until_us, EVENT_RESUMED, index);
 }
 
 static Upstream_t *
-create_upstream(const Replay_t *this, guint which)
+create_upstream(const Replay_t *this, guint index)
 {
     UpstreamSpec_t spec = {
         .hall = g_string_new(HALL),
         .region = g_string_new(REGION),
         .serves = g_ptr_array_new(),
-        .slots = is_on(this, REPLAY_SLOTS) ? this->spec->fleet.slots
-                                           : SLOTS_UNKNOWN,
+        .slots = is_enabled(this, REPLAY_SLOTS) ? this->spec->fleet.slots
+                                                : SLOTS_UNLIMITED,
     };
-    g_autofree char *name = g_strdup_printf("e%u", which);
+    g_autofree char *name = g_strdup_printf("e%u", index);
     Upstream_t *upstream = Upstream_create(NULL, name, &spec, 0);
     upstream->prefill_us_per_token =
         CLOCK_US_PER_MS / (double)this->spec->fleet.prompt_tokens_ms;
@@ -649,15 +654,15 @@
 {
     for (guint i = 0; i < this->spec->fleet.engines; i++) {
         Engine_t engine = {
-            .model =
-                ReplayEngine_create(&this->spec->fleet, &engine_events, this),
+            .model = ReplayEngine_create(&this->spec->fleet, &engine_handlers,
+                                         this),
             .upstream = create_upstream(this, i),
         };
         g_array_append_val(this->engines, engine);
         g_ptr_array_add(this->serving, engine.upstream);
         g_hash_table_insert(this->by_upstream, engine.upstream,
                             GUINT_TO_POINTER(i));
-        add_silence(this, i);
+        schedule_silence(this, i);
     }
 }
 
@@ -683,8 +688,8 @@
 }
 
 static void
-begin(Replay_t *this, const ReplaySpec_t *spec, guint decisions,
-      ReplayResult_t *result)
+create_state(Replay_t *this, const ReplaySpec_t *spec, guint decisions,
+             ReplayResult_t *result)
 {
     *this = (Replay_t){.spec = spec, .decisions = decisions, .result = result};
     this->random = g_rand_new_with_seed((guint32)spec->fleet.seed);
@@ -693,19 +698,20 @@
     this->engines = g_array_new(FALSE, FALSE, sizeof(Engine_t));
     this->serving = g_ptr_array_new();
     this->by_upstream = g_hash_table_new(NULL, NULL);
-    this->read =
+    this->prefixes_read =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     this->policy = Policies_create(
-        is_on(this, REPLAY_PREFIX) ? POLICY_HOME : POLICY_LEAST_LOADED);
+        is_enabled(this, REPLAY_PREFIX) ? POLICY_HOME : POLICY_LEAST_LOADED);
     this->base = event_base_new();
     this->tickets = Tickets_create(this->base);
     this->estimate_error = EstimateError_create();
     add_stores(this);
-    for (guint kind = 0; kind < REPLAY_KINDS; kind++) {
-        this->firsts[kind] = g_array_new(FALSE, FALSE, sizeof(gint64));
+    for (guint kind = 0; kind < REPLAY_KINDS_MAX; kind++) {
+        this->first_token_waits[kind] =
+            g_array_new(FALSE, FALSE, sizeof(gint64));
     }
     Random_seed((guint32)spec->fleet.seed);
-    Clock_freeze(BEGIN_US);
+    Clock_freeze(START_US);
     draw_requests(this);
     add_engines(this);
 }
@@ -730,33 +736,34 @@
 fill_result(const Replay_t *this)
 {
     ReplayResult_t *result = this->result;
-    for (guint kind = 0; kind < REPLAY_KINDS; kind++) {
+    for (guint kind = 0; kind < REPLAY_KINDS_MAX; kind++) {
         ReplayCount_t *count = &result->kinds[kind];
-        g_array_sort(this->firsts[kind], compare_times);
-        count->p50_us = quantile(this->firsts[kind], 0.5);
-        count->p99_us = quantile(this->firsts[kind], 0.99);
+        g_array_sort(this->first_token_waits[kind], compare_times);
+        count->p50_us = quantile(this->first_token_waits[kind], 0.5);
+        count->p99_us = quantile(this->first_token_waits[kind], 0.99);
     }
     for (guint i = 0; i < this->requests->len; i++) {
         count_of(this, request_at(this, i))->asked++;
     }
     for (guint i = 0; i < this->engines->len; i++) {
         result->read_tokens +=
-            ReplayEngine_readTokens(engine_at(this, i)->model);
+            ReplayEngine_countReadTokens(engine_at(this, i)->model);
     }
-    result->decision_us =
-        result->decisions > 0 ? this->decided_us / result->decisions : 0;
+    result->decision_us = result->decisions > 0
+                              ? this->decision_total_us / result->decisions
+                              : 0;
 }
 
 static void
-end(Replay_t *this)
+free_state(Replay_t *this)
 {
     Tickets_destroy(this->tickets);
     for (guint i = 0; i < this->engines->len; i++) {
         ReplayEngine_destroy(engine_at(this, i)->model);
         Upstream_unref(engine_at(this, i)->upstream);
     }
-    for (guint kind = 0; kind < REPLAY_KINDS; kind++) {
-        g_array_unref(this->firsts[kind]);
+    for (guint kind = 0; kind < REPLAY_KINDS_MAX; kind++) {
+        g_array_unref(this->first_token_waits[kind]);
     }
     Policy_destroy(this->policy);
     EstimateError_destroy(this->estimate_error);
@@ -768,40 +775,40 @@
     g_array_unref(this->engines);
     g_ptr_array_unref(this->serving);
     g_hash_table_destroy(this->by_upstream);
-    g_hash_table_destroy(this->read);
+    g_hash_table_destroy(this->prefixes_read);
     Clock_freeze(0);
 }
 
 void
-Replay_play(const ReplaySpec_t *spec, guint decisions, ReplayResult_t *out)
+Replay_run(const ReplaySpec_t *spec, guint decisions, ReplayResult_t *out)
 {
     Replay_t replay;
     *out = (ReplayResult_t){0};
-    begin(&replay, spec, decisions, out);
-    gint64 end_us = BEGIN_US + (spec->fleet.duration_ms + END_MS) *
+    create_state(&replay, spec, decisions, out);
+    gint64 end_us = START_US + (spec->fleet.duration_ms + DRAIN_MS) *
                                    (gint64)CLOCK_US_PER_MS;
     while (replay.events->len > 0) {
-        Event_t event = take_event(&replay);
+        Event_t event = pop_event(&replay);
         if (event.at_us > end_us) {
             break;
         }
         replay.now_us = event.at_us;
         Clock_freeze(event.at_us);
-        take(&replay, &event);
+        handle_event(&replay, &event);
     }
     fill_result(&replay);
-    end(&replay);
+    free_state(&replay);
 }
 
 double
-ReplayResult_worth(const ReplayResult_t *this)
+ReplayResult_computeValue(const ReplayResult_t *this)
 {
-    double earned = 0;
-    guint asked = 0;
-    for (guint kind = 0; kind < REPLAY_KINDS; kind++) {
+    double value = 0;
+    guint requests = 0;
+    for (guint kind = 0; kind < REPLAY_KINDS_MAX; kind++) {
         const ReplayCount_t *count = &this->kinds[kind];
-        earned += count->in_time + LATE_WORTH * count->late;
-        asked += count->asked;
+        value += count->in_time + LATE_VALUE * count->late;
+        requests += count->asked;
     }
-    return asked > 0 ? earned / asked : 0;
+    return requests > 0 ? value / requests : 0;
 }
--- a/bench/Replay.h
+++ b/bench/Replay.h
@@ -3,24 +3,26 @@
 /**
  * DOC: Replay
  *
- * Plays a load against the decisions of the product, in a time of its own and
- * without any process or socket: which engine a request goes to, whether it
- * is refused and when its caller is told to come back. The facts come to the
- * decisions through the structures that a router fills; only what a router
- * learns with delay is delayed. One dispatcher places for each group of
- * engines, as in a fleet that is too large for all to know all.
+ * Simulates a load in virtual time, without processes or sockets, and runs the
+ * router's own decisions on it: which engine receives a request, whether the
+ * request is refused, and when its caller may retry. The decisions read the
+ * same structures as in a router; only information that a router receives with
+ * delay is delayed. One dispatcher places for each group of engines, as in a
+ * fleet that is too large for every router to know every engine.
  *
- * It is a model: no links, halls, weights or faults of routers. What it shows
- * is the direction in which a decision moves a load (docs/REPLAY.md).
+ * The model leaves out links, halls, weights and router failures. A replay
+ * shows in which direction a decision changes the results of a load
+ * (docs/REPLAY.md).
  */
 #include "ReplaySpec.h"
 
 /**
- * enum ReplayDecision_t - what can be switched off, one bit each
- * @REPLAY_SLOTS: an engine's slots count in its estimate
- * @REPLAY_SHED: what would begin late is refused
- * @REPLAY_MEMORY: what an engine holds is followed by what was brought in
- * @REPLAY_PREFIX: requests go where their prefix lives
+ * enum ReplayDecision_t - decisions that can be disabled, one bit each
+ * @REPLAY_SLOTS: the estimate of an engine's delay includes its slots
+ * @REPLAY_SHED: requests that would begin late are refused
+ * @REPLAY_MEMORY: the router tracks which prefixes an engine holds, from the
+ *     tokens placed there and the engine's memory size
+ * @REPLAY_PREFIX: requests are placed by the home of their prefix
  */
 typedef enum {
     REPLAY_SLOTS = 1 << 0,
@@ -31,14 +33,15 @@
 } ReplayDecision_t;
 
 /**
- * struct ReplayCount_t - what became of the requests of a kind
- * @asked: all of them
- * @in_time: whole, begun within the objective and without a longer pause
- * @late: whole, but later
- * @refused: for good
- * @failed: otherwise
- * @p50_us: of the times to the first token
- * @p99_us: the same
+ * struct ReplayCount_t - outcomes of the requests of one kind
+ * @asked: requests that arrived
+ * @in_time: complete answers with the first token within the objective and no
+ *     pause above the limit
+ * @late: other complete answers
+ * @refused: requests refused again after the caller's retry
+ * @failed: requests that ended otherwise without a complete answer
+ * @p50_us: median of the time to the first token
+ * @p99_us: 99th percentile of the time to the first token
  */
 typedef struct {
     guint asked;
@@ -51,30 +54,31 @@
 } ReplayCount_t;
 
 /**
- * struct ReplayResult_t - of one play
- * @kinds: in the order of the file
- * @read_tokens: prompt tokens that engines have read
- * @again_tokens: of these, of prefixes that some engine had read before
- * @decisions: that were made
- * @decision_us: processor time of one of them, on the mean
+ * struct ReplayResult_t - results of one replay
+ * @kinds: outcomes by kind, in the order of the file
+ * @read_tokens: prompt tokens that engines read
+ * @reread_tokens: part of @read_tokens in prefixes that some engine had read
+ *     before
+ * @decisions: placement decisions made
+ * @decision_us: mean processor time of a placement decision
  */
 typedef struct {
-    ReplayCount_t kinds[REPLAY_KINDS];
+    ReplayCount_t kinds[REPLAY_KINDS_MAX];
     guint64 read_tokens;
-    guint64 again_tokens;
+    guint64 reread_tokens;
     guint decisions;
     double decision_us;
 } ReplayResult_t;
 
 /**
- * Replay_play() - play a load
- * @decisions: ReplayDecision_t that are on
+ * Replay_run() - simulate a load
+ * @decisions: bits of ReplayDecision_t that are enabled
  */
-void Replay_play(const ReplaySpec_t *spec, guint decisions,
-                 ReplayResult_t *out);
+void Replay_run(const ReplaySpec_t *spec, guint decisions,
+                ReplayResult_t *out);
 
-/** ReplayResult_worth() - the share of requests served, those that are late
- * counting a third, as the users rate them */
-double ReplayResult_worth(const ReplayResult_t *this);
+/** ReplayResult_computeValue() - mean value of a request: 1 in time, about a
+ * third if late, as the users rate late answers, otherwise 0 */
+double ReplayResult_computeValue(const ReplayResult_t *this);
 
 #endif
--- a/bench/ReplayEngine.c
+++ b/bench/ReplayEngine.c
@@ -2,62 +2,62 @@
 
 #include "Clock.h"
 
-/* A prefix, or what a request that has ended left behind. */
+/* A prefix, or the tokens of an ended request, which stay in memory too. */
 typedef struct {
-    guint64 prefix; /* 0 for what nobody asks for again */
+    guint64 prefix; /* 0 for an ended request */
     guint tokens;
-    GList link; /* in the order of use */
-} Kept_t;
+    GList link; /* in the engine's lru */
+} CacheEntry_t;
 
 struct ReplayEngine {
     const ReplayFleet_t *fleet;
-    const ReplayEvents_t *events;
+    const ReplayEngineHandlers_t *handlers;
     void *owner;
-    GQueue waiting;      /* ReplayWork_t */
-    GPtrArray *running;  /* ReplayWork_t */
-    GHashTable *kept;    /* &prefix -> Kept_t */
-    GQueue order;        /* Kept_t, used longest ago first */
-    guint64 kept_tokens; /* of all in @order */
-    guint64 run_tokens;  /* of all that run */
+    GQueue waiting;         /* ReplayWork_t */
+    GPtrArray *running;     /* ReplayWork_t */
+    GHashTable *entries;    /* &prefix -> CacheEntry_t */
+    GQueue lru;             /* CacheEntry_t, least recently used first */
+    guint64 cached_tokens;  /* of all entries in @lru */
+    guint64 running_tokens; /* reserved by running requests */
     guint64 read_tokens;
 };
 
 ReplayEngine_t *
-ReplayEngine_create(const ReplayFleet_t *fleet, const ReplayEvents_t *events,
-                    void *owner)
+ReplayEngine_create(const ReplayFleet_t *fleet,
+                    const ReplayEngineHandlers_t *handlers, void *owner)
 {
     ReplayEngine_t *this = g_new0(ReplayEngine_t, 1);
     this->fleet = fleet;
-    this->events = events;
+    this->handlers = handlers;
     this->owner = owner;
     this->running = g_ptr_array_new_with_free_func(g_free);
-    this->kept = g_hash_table_new(g_int64_hash, g_int64_equal);
+    this->entries = g_hash_table_new(g_int64_hash, g_int64_equal);
     g_queue_init(&this->waiting);
-    g_queue_init(&this->order);
+    g_queue_init(&this->lru);
     return this;
 }
 
 static void
-drop_oldest(ReplayEngine_t *this)
+evict_oldest(ReplayEngine_t *this)
 {
-    Kept_t *kept = g_queue_peek_head(&this->order);
-    g_queue_unlink(&this->order, &kept->link);
-    this->kept_tokens -= kept->tokens;
-    if (kept->prefix != 0) {
-        g_hash_table_remove(this->kept, &kept->prefix);
+    CacheEntry_t *entry = g_queue_peek_head(&this->lru);
+    g_queue_unlink(&this->lru, &entry->link);
+    this->cached_tokens -= entry->tokens;
+    if (entry->prefix != 0) {
+        g_hash_table_remove(this->entries, &entry->prefix);
     }
-    g_free(kept);
+    g_free(entry);
 }
 
 void
 ReplayEngine_destroy(ReplayEngine_t *this)
 {
-    while (!g_queue_is_empty(&this->order)) {
-        drop_oldest(this);
+    while (!g_queue_is_empty(&this->lru)) {
+        evict_oldest(this);
     }
     g_queue_clear_full(&this->waiting, g_free);
     g_ptr_array_unref(this->running);
-    g_hash_table_destroy(this->kept);
+    g_hash_table_destroy(this->entries);
     g_free(this);
 }
 
@@ -68,9 +68,9 @@
 }
 
 gboolean
-ReplayEngine_holds(const ReplayEngine_t *this, guint64 prefix)
+ReplayEngine_hasPrefix(const ReplayEngine_t *this, guint64 prefix)
 {
-    return g_hash_table_contains(this->kept, &prefix);
+    return g_hash_table_contains(this->entries, &prefix);
 }
 
 gboolean
@@ -81,83 +81,86 @@
 }
 
 static guint
-held_tokens(const ReplayWork_t *work)
+reserved_tokens(const ReplayWork_t *work)
 {
     return work->own_tokens + work->out_tokens;
 }
 
 static void
-make_room(ReplayEngine_t *this)
+evict_to_capacity(ReplayEngine_t *this)
 {
-    guint64 most = (guint64)this->fleet->cache_tokens;
-    while (this->kept_tokens + this->run_tokens > most &&
-           !g_queue_is_empty(&this->order)) {
-        drop_oldest(this);
+    guint64 capacity = (guint64)this->fleet->cache_tokens;
+    while (this->cached_tokens + this->running_tokens > capacity &&
+           !g_queue_is_empty(&this->lru)) {
+        evict_oldest(this);
     }
 }
 
 static void
-keep(ReplayEngine_t *this, guint64 prefix, guint tokens)
+insert_entry(ReplayEngine_t *this, guint64 prefix, guint tokens)
 {
-    Kept_t *kept = g_new0(Kept_t, 1);
-    kept->prefix = prefix;
-    kept->tokens = tokens;
-    kept->link.data = kept;
+    CacheEntry_t *entry = g_new0(CacheEntry_t, 1);
+    entry->prefix = prefix;
+    entry->tokens = tokens;
+    entry->link.data = entry;
     if (prefix != 0) {
-        g_hash_table_insert(this->kept, &kept->prefix, kept);
+        g_hash_table_insert(this->entries, &entry->prefix, entry);
     }
-    g_queue_push_tail_link(&this->order, &kept->link);
-    this->kept_tokens += tokens;
-    make_room(this);
+    g_queue_push_tail_link(&this->lru, &entry->link);
+    this->cached_tokens += tokens;
+    evict_to_capacity(this);
 }
 
-/* Returns whether it was here; it is the newest now. */
+/* Marks a prefix as most recently used; FALSE if it is not cached. */
 static gboolean
-use(ReplayEngine_t *this, guint64 prefix)
+touch_entry(ReplayEngine_t *this, guint64 prefix)
 {
-    Kept_t *kept = g_hash_table_lookup(this->kept, &prefix);
-    if (!kept) {
+    CacheEntry_t *entry = g_hash_table_lookup(this->entries, &prefix);
+    if (!entry) {
         return FALSE;
     }
-    g_queue_unlink(&this->order, &kept->link);
-    g_queue_push_tail_link(&this->order, &kept->link);
+    g_queue_unlink(&this->lru, &entry->link);
+    g_queue_push_tail_link(&this->lru, &entry->link);
     return TRUE;
 }
 
 static void
-begin(ReplayEngine_t *this, ReplayWork_t *work)
+start_work(ReplayEngine_t *this, ReplayWork_t *work)
 {
-    gboolean here = work->prefix != 0 && use(this, work->prefix);
-    work->computed = work->prefix != 0 && !here && !work->fetched;
+    gboolean cached = work->prefix != 0 && touch_entry(this, work->prefix);
+    work->computed = work->prefix != 0 && !cached && !work->fetched;
     work->left_tokens =
         work->own_tokens + (work->computed ? work->shared_tokens : 0);
-    this->run_tokens += held_tokens(work);
-    if (work->prefix != 0 && !here && work->fetched) {
-        keep(this, work->prefix, work->shared_tokens);
+    this->running_tokens += reserved_tokens(work);
+    if (work->prefix != 0 && !cached && work->fetched) {
+        insert_entry(this, work->prefix, work->shared_tokens);
     }
-    make_room(this);
+    evict_to_capacity(this);
     g_ptr_array_add(this->running, work);
 }
 
 static gboolean
-fits(const ReplayEngine_t *this, const ReplayWork_t *work)
+fits_memory(const ReplayEngine_t *this, const ReplayWork_t *work)
 {
-    guint64 most = (guint64)this->fleet->cache_tokens;
-    return this->running->len == 0 ||
-           this->run_tokens + held_tokens(work) + work->shared_tokens <= most;
+    guint64 capacity = (guint64)this->fleet->cache_tokens;
+    return this->running->len == 0 || this->running_tokens +
+                                              reserved_tokens(work) +
+                                              work->shared_tokens <=
+                                          capacity;
 }
 
 static void
-admit(ReplayEngine_t *this, gint64 now_us)
+admit_waiting(ReplayEngine_t *this, gint64 now_us)
 {
-    guint left = g_queue_get_length(&this->waiting);
-    for (; left > 0 && this->running->len < this->fleet->slots; left--) {
+    guint remaining = g_queue_get_length(&this->waiting);
+    for (; remaining > 0 && this->running->len < this->fleet->slots;
+         remaining--) {
         ReplayWork_t *work = g_queue_pop_head(&this->waiting);
         if (work->ready_us > now_us) {
             g_queue_push_tail(&this->waiting, work);
         }
-        else if (fits(this, work)) {
-            begin(this, work);
+        else if (fits_memory(this, work)) {
+            start_work(this, work);
         }
         else {
             g_queue_push_head(&this->waiting, work);
@@ -166,25 +169,25 @@
     }
 }
 
-/* Returns the tokens read. */
+/* Returns the number of prompt tokens read. */
 static guint
-read_piece(ReplayEngine_t *this)
+read_chunk(ReplayEngine_t *this)
 {
-    guint room = (guint)this->fleet->piece_tokens;
-    for (guint i = 0; i < this->running->len && room > 0; i++) {
+    guint budget = (guint)this->fleet->piece_tokens;
+    for (guint i = 0; i < this->running->len && budget > 0; i++) {
         ReplayWork_t *work = g_ptr_array_index(this->running, i);
-        guint tokens = MIN(work->left_tokens, room);
+        guint tokens = MIN(work->left_tokens, budget);
         work->left_tokens -= tokens;
-        room -= tokens;
+        budget -= tokens;
     }
-    return (guint)this->fleet->piece_tokens - room;
+    return (guint)this->fleet->piece_tokens - budget;
 }
 
 gint64
 ReplayEngine_step(ReplayEngine_t *this, gint64 now_us)
 {
-    admit(this, now_us);
-    guint tokens = read_piece(this);
+    admit_waiting(this, now_us);
+    guint tokens = read_chunk(this);
     this->read_tokens += tokens;
     return this->fleet->step_us +
            this->fleet->step_run_us * this->running->len +
@@ -192,12 +195,12 @@
 }
 
 static void
-leave(ReplayEngine_t *this, guint place)
+remove_running(ReplayEngine_t *this, guint index)
 {
-    ReplayWork_t *work = g_ptr_array_index(this->running, place);
-    this->run_tokens -= held_tokens(work);
-    keep(this, 0, held_tokens(work));
-    g_ptr_array_remove_index(this->running, place);
+    ReplayWork_t *work = g_ptr_array_index(this->running, index);
+    this->running_tokens -= reserved_tokens(work);
+    insert_entry(this, 0, reserved_tokens(work));
+    g_ptr_array_remove_index(this->running, index);
 }
 
 static void
@@ -206,11 +209,11 @@
     gboolean first = !work->begun;
     work->begun = TRUE;
     if (first && work->computed) {
-        keep(this, work->prefix, work->shared_tokens);
+        insert_entry(this, work->prefix, work->shared_tokens);
     }
     work->out_tokens--;
     work->own_tokens++;
-    this->events->token(this->owner, work, first, now_us);
+    this->handlers->token(this->owner, work, first, now_us);
 }
 
 void
@@ -228,18 +231,18 @@
             i++;
             continue;
         }
-        leave(this, i);
-        this->events->done(this->owner, id, now_us);
+        remove_running(this, i);
+        this->handlers->done(this->owner, id, now_us);
     }
 }
 
 static gboolean
 cancel_waiting(ReplayEngine_t *this, guint id)
 {
-    for (GList *at = this->waiting.head; at; at = at->next) {
-        ReplayWork_t *work = at->data;
+    for (GList *link = this->waiting.head; link; link = link->next) {
+        ReplayWork_t *work = link->data;
         if (work->id == id) {
-            g_queue_delete_link(&this->waiting, at);
+            g_queue_delete_link(&this->waiting, link);
             g_free(work);
             return TRUE;
         }
@@ -253,7 +256,7 @@
     for (guint i = 0; i < this->running->len; i++) {
         const ReplayWork_t *work = g_ptr_array_index(this->running, i);
         if (work->id == id) {
-            leave(this, i);
+            remove_running(this, i);
             return TRUE;
         }
     }
@@ -261,7 +264,7 @@
 }
 
 guint64
-ReplayEngine_readTokens(const ReplayEngine_t *this)
+ReplayEngine_countReadTokens(const ReplayEngine_t *this)
 {
     return this->read_tokens;
 }
--- a/bench/ReplayEngine.h
+++ b/bench/ReplayEngine.h
@@ -3,25 +3,26 @@
 /**
  * DOC: ReplayEngine
  *
- * What an engine does with the requests that it is sent, in a time of the
- * replay: it runs as many as it has slots and memory for, reads prompts in
- * pieces between steps that make one token of each, and keeps prefixes until
- * what comes later pushes them out.
+ * Model of an engine in the virtual time of a replay. The engine runs as many
+ * requests as its slots and memory permit. Each step reads a limited number of
+ * prompt tokens and generates one token for every request whose prompt is
+ * read. Prefixes stay in memory until newer entries evict them.
  */
 #include "ReplaySpec.h"
 
 /**
- * struct ReplayWork_t - a request as an engine sees it
- * @id: of the replay
- * @prefix: that it shares; 0 for none
- * @shared_tokens: of the prefix
- * @own_tokens: behind it
- * @out_tokens: that are still to be made
- * @fetched: the prefix is taken from elsewhere
- * @ready_us: when it may begin, for a move
- * @left_tokens: still to be read
+ * struct ReplayWork_t - a request on an engine
+ * @id: index of the request in the replay
+ * @prefix: id of the shared prefix; 0 for none
+ * @shared_tokens: length of the shared prefix
+ * @own_tokens: tokens after the prefix: the rest of the prompt and the output
+ *     so far
+ * @out_tokens: output tokens still to be generated
+ * @fetched: the prefix is fetched from another engine or from the store
+ * @ready_us: time at which the fetch is complete and the request may start
+ * @left_tokens: prompt tokens still to be read
  * @computed: the engine reads the prefix itself
- * @begun: its first token was made
+ * @begun: the first token was generated
  */
 typedef struct {
     guint id;
@@ -37,46 +38,48 @@
 } ReplayWork_t;
 
 /**
- * struct ReplayEvents_t - what an engine tells
- * @token: a request made a token; @first: its first one
- * @done: a request is whole
+ * struct ReplayEngineHandlers_t - callbacks of an engine
+ * @token: a request generated a token; @first: it is the first one
+ * @done: a request is complete
  */
 typedef struct {
     void (*token)(void *owner, const ReplayWork_t *work, gboolean first,
                   gint64 now_us);
     void (*done)(void *owner, guint id, gint64 now_us);
-} ReplayEvents_t;
+} ReplayEngineHandlers_t;
 
 /** struct ReplayEngine_t - opaque */
 typedef struct ReplayEngine ReplayEngine_t;
 
-/** ReplayEngine_create() - an engine with an empty memory */
+/** ReplayEngine_create() - create an engine with an empty memory */
 ReplayEngine_t *ReplayEngine_create(const ReplayFleet_t *fleet,
-                                    const ReplayEvents_t *events, void *owner);
+                                    const ReplayEngineHandlers_t *handlers,
+                                    void *owner);
 
-/** ReplayEngine_destroy() - free it */
+/** ReplayEngine_destroy() - free the engine and its requests */
 void ReplayEngine_destroy(ReplayEngine_t *this);
 
-/** ReplayEngine_send() - a request comes; @work is taken over */
+/** ReplayEngine_send() - queue a request; takes ownership of @work */
 void ReplayEngine_send(ReplayEngine_t *this, ReplayWork_t *work);
 
-/** ReplayEngine_holds() - whether a prefix is in its memory */
-gboolean ReplayEngine_holds(const ReplayEngine_t *this, guint64 prefix);
+/** ReplayEngine_hasPrefix() - whether a prefix is in memory */
+gboolean ReplayEngine_hasPrefix(const ReplayEngine_t *this, guint64 prefix);
 
-/** ReplayEngine_cancel() - a request goes; FALSE where it is not here */
+/** ReplayEngine_cancel() - remove a request; FALSE if the engine does not have
+ * it */
 gboolean ReplayEngine_cancel(ReplayEngine_t *this, guint id);
 
-/** ReplayEngine_isIdle() - nothing is here */
+/** ReplayEngine_isIdle() - no request is waiting or running */
 gboolean ReplayEngine_isIdle(const ReplayEngine_t *this);
 
-/** ReplayEngine_step() - make one step; returns what it takes, in us; what it
- * makes is told by ReplayEngine_finish() */
+/** ReplayEngine_step() - start a step; returns its duration in us. The caller
+ * calls ReplayEngine_finish() at its end. */
 gint64 ReplayEngine_step(ReplayEngine_t *this, gint64 now_us);
 
-/** ReplayEngine_finish() - the step is over */
+/** ReplayEngine_finish() - end a step and report the generated tokens */
 void ReplayEngine_finish(ReplayEngine_t *this, gint64 now_us);
 
-/** ReplayEngine_readTokens() - prompt tokens read by now */
-guint64 ReplayEngine_readTokens(const ReplayEngine_t *this);
+/** ReplayEngine_countReadTokens() - prompt tokens read so far */
+guint64 ReplayEngine_countReadTokens(const ReplayEngine_t *this);
 
 #endif
--- a/bench/ReplaySpec.h
+++ b/bench/ReplaySpec.h
@@ -3,35 +3,36 @@
 /**
  * DOC: ReplaySpec
  *
- * A load to be replayed, from an INI file: the engines, what goes wrong with
- * them, and the kinds of requests. Each key is checked; a fault names file,
- * line and key.
+ * The load of a replay, read from an INI file: the engines, their faults and
+ * the kinds of requests. Each key is checked; a problem names its file, line
+ * and key.
  */
 #include <glib.h>
 
-/** Kinds of requests that a file may have */
-#define REPLAY_KINDS 4
+/** Largest number of request kinds in a file */
+#define REPLAY_KINDS_MAX 4
 
 /**
  * struct ReplayFleet_t - [fleet]
- * @seed: of all that is drawn
- * @duration_ms: in which requests come
- * @engines: how many
- * @groups: that one dispatcher each places for
+ * @seed: of the random numbers
+ * @duration_ms: time in which requests arrive
+ * @engines: number of engines
+ * @groups: number of engine groups; one dispatcher places for each group
  * @slots: requests that an engine runs at once
- * @cache_tokens: that its memory holds, running requests included
- * @prompt_tokens_ms: read in a millisecond
- * @piece_tokens: read between two steps at the most
- * @step_us: time of a step that makes one token of each running request
- * @step_run_us: what each running request adds to it
- * @move_us: until a prefix is taken from another engine
- * @store_us: the same from the store of prefixes; 0 where there is none
- * @stores: copies of the store, each of which keeps its share of the prefixes
- * @news_ms: until a dispatcher hears what became of a request
- * @silent_percent: of the engines that say nothing
- * @silent_from_ms: since when
- * @silent_until_ms: until when
- * @noticed_ms: after which an engine is known to say nothing
+ * @cache_tokens: capacity of an engine's memory, running requests included
+ * @prompt_tokens_ms: prompt tokens that an engine reads per millisecond
+ * @piece_tokens: prompt tokens that an engine reads in one step at most
+ * @step_us: duration of a step, which generates one token per running request
+ * @step_run_us: time that each running request adds to a step
+ * @move_us: time to fetch a prefix from another engine
+ * @store_us: time to fetch a prefix from the store of prefixes; 0 for no store
+ * @stores: copies of the store; each stores its share of the prefixes
+ * @update_delay_ms: time until a dispatcher learns of a first token or of the
+ *     end of a request
+ * @silent_percent: share of the engines that fall silent
+ * @silent_from_ms: start of the silence
+ * @silent_until_ms: end of the silence
+ * @silence_detect_ms: time until a dispatcher suspects a silent engine
  */
 typedef struct {
     gint64 seed;
@@ -47,23 +48,23 @@
     gint64 move_us;
     gint64 store_us;
     gint64 stores;
-    gint64 news_ms;
+    gint64 update_delay_ms;
     gint64 silent_percent;
     gint64 silent_from_ms;
     gint64 silent_until_ms;
-    gint64 noticed_ms;
+    gint64 silence_detect_ms;
 } ReplayFleet_t;
 
 /**
  * struct ReplayKind_t - [kind-1] and so on
- * @rate: requests a second, 0 for none of the kind
- * @prefixes: that are shared
- * @shared_tokens: of each of them, on the mean
- * @own_tokens: of a prompt besides, on the mean
- * @out_tokens: of an answer, on the mean
- * @objective_ms: by when the first token should come
+ * @rate: requests a second; 0 disables the kind
+ * @prefixes: number of shared prefixes
+ * @shared_tokens: mean length of a shared prefix
+ * @own_tokens: mean length of a prompt after the shared prefix
+ * @out_tokens: mean length of an answer
+ * @objective_ms: longest wait for the first token of an answer in time
  * @pause_ms: longest pause between tokens of an answer in time
- * @deadline_ms: how long a caller waits
+ * @deadline_ms: time after which the caller gives up
  */
 typedef struct {
     gint64 rate;
@@ -77,20 +78,20 @@
 } ReplayKind_t;
 
 /**
- * struct ReplaySpec_t - all of it
+ * struct ReplaySpec_t - contents of a load file
  * @fleet: the engines
- * @kinds: of requests
+ * @kinds: kinds of requests
  */
 typedef struct {
     ReplayFleet_t fleet;
-    ReplayKind_t kinds[REPLAY_KINDS];
+    ReplayKind_t kinds[REPLAY_KINDS_MAX];
 } ReplaySpec_t;
 
 /**
  * ReplaySpec_read() - read and check a file
- * @problems: gets every fault (Problem.h)
+ * @problems: receives every problem found (Problem.h)
  *
- * Return: FALSE where there is any
+ * Return: FALSE if the file has a problem
  */
 gboolean ReplaySpec_read(ReplaySpec_t *out, const char *path,
                          GPtrArray *problems);
--- a/bench/Workload.c
+++ b/bench/Workload.c
@@ -6,28 +6,28 @@
 
 #include "Json.h"
 
-/* Engine stand-ins count a token for so many bytes. */
-#define TOKEN_BYTES 4
-#define WORD_BYTES 8
+/* The ratio by which engine stand-ins count the tokens of a prompt. */
+#define BYTES_PER_TOKEN 4
+#define BYTES_PER_WORD 8
 
 struct Workload {
-    const Profile_t *profile;
+    const LoadProfile_t *profile;
     GString *model;
     GRand *random;
     double *customer_shares; /* cumulative */
     double *history_shares;  /* cumulative */
-    guint shift;
-    guint64 asked;
+    guint history_generation;
+    guint64 request_count;
 };
 
-static const Profile_t profiles[] = {
+static const LoadProfile_t profiles[] = {
     {"small", 1, 50, 20, 40, 10, 50, 0.0, 0.0, 0, 0},
     {"kochi", 8, 300, 1500, 4000, 60, 100, 0.8, 0.9, 10000, 30},
     {"rosario", 8, 60, 800, 2500, 40, 60, 0.8, 1.2, 5000, 30},
 };
 
-const Profile_t *
-Workload_profile(const char *name)
+const LoadProfile_t *
+Workload_findProfile(const char *name)
 {
     for (gsize i = 0; i < G_N_ELEMENTS(profiles); i++) {
         if (strcmp(profiles[i].name, name) == 0) {
@@ -38,7 +38,7 @@
 }
 
 static double *
-zipf_shares(guint count, double skew)
+create_zipf_shares(guint count, double skew)
 {
     double *shares = g_new(double, count);
     double sum = 0.0;
@@ -53,7 +53,7 @@
 }
 
 static guint
-draw(GRand *random, const double *shares, guint count)
+draw_rank(GRand *random, const double *shares, guint count)
 {
     double value = g_rand_double(random);
     guint low = 0;
@@ -71,16 +71,16 @@
 }
 
 Workload_t *
-Workload_create(const Profile_t *profile, const char *model, guint32 seed)
+Workload_create(const LoadProfile_t *profile, const char *model, guint32 seed)
 {
     Workload_t *this = g_new0(Workload_t, 1);
     this->profile = profile;
     this->model = g_string_new(model);
     this->random = g_rand_new_with_seed(seed);
     this->customer_shares =
-        zipf_shares(profile->customers, profile->customer_skew);
+        create_zipf_shares(profile->customers, profile->customer_skew);
     this->history_shares =
-        zipf_shares(profile->histories, profile->history_skew);
+        create_zipf_shares(profile->histories, profile->history_skew);
     return this;
 }
 
@@ -94,12 +94,12 @@
     g_free(this);
 }
 
-/* Words of hex digits that follow from the seed alone. */
+/* Returns words of hex digits that depend on the seed alone. */
 static GString *
-text_of(guint64 seed, guint tokens)
+create_text(guint64 seed, guint tokens)
 {
-    gsize length = (gsize)tokens * TOKEN_BYTES;
-    GString *text = g_string_sized_new(length + WORD_BYTES);
+    gsize length = (gsize)tokens * BYTES_PER_TOKEN;
+    GString *text = g_string_sized_new(length + BYTES_PER_WORD);
     for (guint64 word = 0; text->len < length; word++) {
         guint64 hash = XXH3_64bits_withSeed(&word, sizeof(word), seed);
         g_string_append_printf(text, "%07x ", (guint)(hash & 0xfffffff));
@@ -117,80 +117,85 @@
     g_string_append_printf(canonical, "%s\n%s\n", role, content->str);
 }
 
-/* Between half and one and a half times the mean, by the seed. */
+/* Returns a length between 0.5 and 1.5 times the mean, chosen by the seed. */
 static guint
-spread(guint mean, guint64 seed)
+vary_length(guint mean, guint64 seed)
 {
     return mean / 2 + (guint)(seed % (mean + 1));
 }
 
 static guint64
-history_seed(const Workload_t *this, guint customer, guint rank)
+derive_history_seed(const Workload_t *this, guint customer, guint rank)
 {
-    guint64 place[3] = {customer, rank, this->shift};
-    return XXH3_64bits(place, sizeof(place));
+    guint64 identity[3] = {customer, rank, this->history_generation};
+    return XXH3_64bits(identity, sizeof(identity));
 }
 
 static void
-fill_body(Workload_t *this, Asked_t *asked, guint64 history)
+fill_body(Workload_t *this, LoadRequest_t *request, guint64 history_seed)
 {
-    const Profile_t *profile = this->profile;
-    guint64 question = XXH3_64bits(&this->asked, sizeof(this->asked));
+    const LoadProfile_t *profile = this->profile;
+    guint64 question_seed =
+        XXH3_64bits(&this->request_count, sizeof(this->request_count));
     GString *canonical = g_string_new(NULL);
     GString *texts[] = {
-        text_of(asked->customer + 1, profile->preamble_tokens),
-        text_of(history, spread(profile->history_tokens, history)),
-        text_of(question, profile->question_tokens),
+        create_text(request->customer + 1, profile->preamble_tokens),
+        create_text(history_seed,
+                    vary_length(profile->history_tokens, history_seed)),
+        create_text(question_seed, profile->question_tokens),
     };
-    g_string_printf(asked->body,
+    g_string_printf(request->body,
                     "{\"model\":\"%s\",\"stream\":true,\"max_tokens\":%u,"
                     "\"user\":\"c%u\",\"messages\":[",
-                    this->model->str, asked->tokens, asked->customer);
+                    this->model->str, request->tokens, request->customer);
     for (gsize i = 0; i < G_N_ELEMENTS(texts); i++) {
         if (i > 0) {
-            g_string_append_c(asked->body, ',');
+            g_string_append_c(request->body, ',');
         }
-        append_message(asked->body, canonical, i == 0 ? "system" : "user",
+        append_message(request->body, canonical, i == 0 ? "system" : "user",
                        texts[i]);
         g_string_free(texts[i], TRUE);
     }
-    g_string_append(asked->body, "]}");
-    asked->seed = XXH3_64bits(canonical->str, canonical->len);
+    g_string_append(request->body, "]}");
+    request->seed = XXH3_64bits(canonical->str, canonical->len);
     g_string_free(canonical, TRUE);
 }
 
-Asked_t *
-Workload_next(Workload_t *this)
+LoadRequest_t *
+Workload_createRequest(Workload_t *this)
 {
-    const Profile_t *profile = this->profile;
-    Asked_t *asked = g_new0(Asked_t, 1);
-    asked->body = g_string_new(NULL);
-    asked->customer =
-        draw(this->random, this->customer_shares, profile->customers);
-    guint rank = draw(this->random, this->history_shares, profile->histories);
-    asked->tokens = spread(profile->answer_tokens, g_rand_int(this->random));
-    asked->urgent = (guint)g_rand_int_range(this->random, 0, 100) <
-                    profile->urgent_percent;
-    this->asked++;
-    fill_body(this, asked, history_seed(this, asked->customer, rank));
-    return asked;
+    const LoadProfile_t *profile = this->profile;
+    LoadRequest_t *request = g_new0(LoadRequest_t, 1);
+    request->body = g_string_new(NULL);
+    request->customer =
+        draw_rank(this->random, this->customer_shares, profile->customers);
+    guint rank =
+        draw_rank(this->random, this->history_shares, profile->histories);
+    request->tokens =
+        vary_length(profile->answer_tokens, g_rand_int(this->random));
+    request->urgent = (guint)g_rand_int_range(this->random, 0, 100) <
+                      profile->urgent_percent;
+    this->request_count++;
+    fill_body(this, request,
+              derive_history_seed(this, request->customer, rank));
+    return request;
 }
 
 gint64
-Workload_gapUs(Workload_t *this, double rate)
+Workload_drawGapUs(Workload_t *this, double rate)
 {
     double share = g_rand_double(this->random);
     return (gint64)(-log(1.0 - share) / rate * 1e6);
 }
 
 void
-Workload_shift(Workload_t *this)
+Workload_shiftHistories(Workload_t *this)
 {
-    this->shift++;
+    this->history_generation++;
 }
 
 void
-Asked_destroy(Asked_t *this)
+LoadRequest_destroy(LoadRequest_t *this)
 {
     g_string_free(this->body, TRUE);
     g_free(this);
--- a/bench/Workload.h
+++ b/bench/Workload.h
@@ -3,25 +3,26 @@
 /**
  * DOC: Workload
  *
- * Seeded requests like the users' own: prompts of three levels (a customer's
- * preamble, a member's or match's history, a question), customers and
- * histories drawn by a Zipf law, so that a few are very hot.
+ * Generates seeded requests that resemble the users' load. A prompt has three
+ * levels: a customer's preamble, the history of a member or match, and a
+ * question. Customers and histories follow a Zipf distribution, so a small
+ * number of them receives most requests.
  */
 #include <glib.h>
 
 /**
- * struct Profile_t - the shape of a workload
- * @name: as on the command line
- * @customers: how many
- * @histories: of each customer
+ * struct LoadProfile_t - parameters of a workload
+ * @name: name on the command line
+ * @customers: number of customers
+ * @histories: number of histories per customer
  * @preamble_tokens: length of a preamble
  * @history_tokens: mean length of a history
  * @question_tokens: length of a question
  * @answer_tokens: mean length of an answer
- * @customer_skew: exponent of the Zipf law over customers
- * @history_skew: exponent of the Zipf law over a customer's histories
- * @deadline_ms: of a request, 0 for none
- * @urgent_percent: requests of the top priority among 100
+ * @customer_skew: Zipf exponent over customers
+ * @history_skew: Zipf exponent over a customer's histories
+ * @deadline_ms: deadline of a request, 0 for none
+ * @urgent_percent: share of requests with the top priority
  */
 typedef struct {
     const char *name;
@@ -35,15 +36,15 @@
     double history_skew;
     guint deadline_ms;
     guint urgent_percent;
-} Profile_t;
+} LoadProfile_t;
 
 /**
- * struct Asked_t - one request
+ * struct LoadRequest_t - one generated request
  * @body: JSON
- * @seed: of the answer that an engine stand-in gives
+ * @seed: seed from which an engine stand-in derives the answer
  * @customer: number of the customer
  * @tokens: length of the answer
- * @urgent: asks for the top priority
+ * @urgent: has the top priority
  */
 typedef struct {
     GString *body;
@@ -51,31 +52,34 @@
     guint customer;
     guint tokens;
     gboolean urgent;
-} Asked_t;
+} LoadRequest_t;
 
 /** struct Workload_t - opaque */
 typedef struct Workload Workload_t;
 
-/** Workload_profile() - find a profile by name, or NULL */
-const Profile_t *Workload_profile(const char *name);
+/** Workload_findProfile() - find a profile by name, or NULL */
+const LoadProfile_t *Workload_findProfile(const char *name);
 
-/** Workload_create() - a stream of requests; equal seeds, equal requests */
-Workload_t *Workload_create(const Profile_t *profile, const char *model,
+/** Workload_create() - start a sequence of requests; equal seeds give equal
+ * sequences */
+Workload_t *Workload_create(const LoadProfile_t *profile, const char *model,
                             guint32 seed);
 
 /** Workload_destroy() - free it */
 void Workload_destroy(Workload_t *this);
 
-/** Workload_next() - the next request */
-Asked_t *Workload_next(Workload_t *this);
+/** Workload_createRequest() - generate the next request */
+LoadRequest_t *Workload_createRequest(Workload_t *this);
 
-/** Workload_gapUs() - time to the next arrival at a mean rate a second */
-gint64 Workload_gapUs(Workload_t *this, double rate);
+/** Workload_drawGapUs() - time to the next arrival of a Poisson process;
+ * @rate is in arrivals a second */
+gint64 Workload_drawGapUs(Workload_t *this, double rate);
 
-/** Workload_shift() - other histories become the hot ones from now on */
-void Workload_shift(Workload_t *this);
+/** Workload_shiftHistories() - replace all histories by new ones, so that the
+ * popular prefixes change */
+void Workload_shiftHistories(Workload_t *this);
 
-/** Asked_destroy() - free a request */
-void Asked_destroy(Asked_t *this);
+/** LoadRequest_destroy() - free a request */
+void LoadRequest_destroy(LoadRequest_t *this);
 
 #endif
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -1,4 +1,4 @@
-"""What the experiments share: a cluster for load, and the load tool."""
+"""Shared code of the experiments: the cluster under load and wt-load."""
 import json
 import os
 import subprocess
@@ -8,8 +8,8 @@
 sys.path.insert(0, os.path.join(ROOT, "tests"))
 from cluster import BUILD, Cluster, key_hash  # noqa: E402
 
-TICKS = os.sysconf("SC_CLK_TCK")
-LIMIT = 600
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+LOAD_TIMEOUT_S = 600
 
 
 def declarations(customers=8, more=""):
@@ -32,14 +32,14 @@
 
 
 class LoadCluster(Cluster):
-    """Routers and engines with the load tool's customers declared."""
+    """A cluster that declares the customers used by wt-load."""
 
     def start_load(self, routers=1, customers=8, **settings):
         started = [self.router("r%d" % n, hall="hall-%s" % "abcd"[n % 4],
                                **settings) for n in range(routers)]
-        done = self.apply(started, declarations(customers) + self.upstreams)
-        if done.returncode != 0:
-            raise RuntimeError(done.stdout + done.stderr)
+        result = self.apply(started, declarations(customers) + self.upstreams)
+        if result.returncode != 0:
+            raise RuntimeError(result.stdout + result.stderr)
         for router in started:
             router.wait_ready()
         return started
@@ -58,14 +58,14 @@
 
 def load(targets, **options):
     tool = start_load_tool(targets, **options)
-    output, _ = tool.communicate(timeout=LIMIT)
+    output, _ = tool.communicate(timeout=LOAD_TIMEOUT_S)
     return json.loads(output)
 
 
 def cpu_seconds(process):
     with open("/proc/%d/stat" % process.process.pid) as file:
         fields = file.read().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def resident_kib(process):
--- a/bench/main.c
+++ b/bench/main.c
@@ -1,10 +1,11 @@
 /**
  * DOC: wt-load
  *
- * Sends streamed requests to routers, or to an engine itself, and prints
- * what it measured as JSON. With --rate arrivals are open-loop: a request is
- * asked when it is due, whatever became of those before, and its times count
- * from then. With --streams so many are kept under way.
+ * Sends streamed requests to routers, or directly to an engine, and prints the
+ * measurements as JSON. With --rate the load is open-loop: each request is
+ * sent when it is due, even if earlier ones have not ended, and its times
+ * count from the due time. With --streams the load is closed-loop: a fixed
+ * number of requests is in flight.
  */
 #include <argp.h>
 #include <jansson.h>
@@ -35,43 +36,48 @@
 
 typedef struct {
     struct event_base *base;
-    GPtrArray *targets; /* "host:port" */
-    LoadTarget_t *routers;
+    GPtrArray *addresses; /* "host:port" */
+    LoadTarget_t *load_targets;
     Workload_t *workload;
-    Profile_t profile;
-    Results_t results;
+    LoadProfile_t profile;
+    LoadResults_t results;
     const char *model;
     gboolean direct;
     double rate;
     guint streams;
     double seconds;
     guint seed;
-    double shift_at;
-    gboolean shifted;
-    gboolean samples;
+    double shift_at_s;
+    gboolean is_shifted;
+    gboolean print_samples;
     guint count;
     guint next_target;
-    guint open;
-    gboolean ending;
-    gint64 began_us;
+    guint in_flight;
+    gboolean is_ending;
+    gint64 start_us;
     gint64 due_us;
     struct event *arrival;
-    GPtrArray *keys; /* authorization of each customer */
+    GPtrArray *authorizations; /* Authorization header of each customer */
 } Load_t;
 
 static const struct argp_option options[] = {
-    {"target", OPTION_TARGET, "IP:PORT", 0, "Whom to ask; may be repeated", 0},
-    {"direct", OPTION_DIRECT, NULL, 0, "The targets are engines", 0},
-    {"profile", OPTION_PROFILE, "NAME", 0, "small, kochi or rosario", 0},
-    {"model", OPTION_MODEL, "NAME", 0, "Model to ask for", 0},
-    {"rate", OPTION_RATE, "N", 0, "Arrivals a second, open-loop", 0},
-    {"streams", OPTION_STREAMS, "N", 0, "Keep so many under way", 0},
-    {"seconds", OPTION_SECONDS, "N", 0, "How long to ask", 0},
-    {"count", OPTION_COUNT, "N", 0, "Ask so many and no more", 0},
+    {"target", OPTION_TARGET, "IP:PORT", 0,
+     "Address to send requests to; may be repeated", 0},
+    {"direct", OPTION_DIRECT, NULL, 0, "The targets are engines, not routers",
+     0},
+    {"profile", OPTION_PROFILE, "NAME", 0,
+     "Workload profile: small, kochi or rosario", 0},
+    {"model", OPTION_MODEL, "NAME", 0, "Model named in the requests", 0},
+    {"rate", OPTION_RATE, "N", 0, "Requests per second, open-loop", 0},
+    {"streams", OPTION_STREAMS, "N", 0, "Keep N requests in flight", 0},
+    {"seconds", OPTION_SECONDS, "N", 0, "Duration of the run", 0},
+    {"count", OPTION_COUNT, "N", 0, "Stop after N requests", 0},
     {"seed", OPTION_SEED, "N", 0, "Seed of the workload", 0},
     {"tokens", OPTION_TOKENS, "N", 0, "Mean length of an answer", 0},
-    {"shift", OPTION_SHIFT, "SECOND", 0, "When the hot histories change", 0},
-    {"samples", OPTION_SAMPLES, NULL, 0, "Print each first token's delay", 0},
+    {"shift", OPTION_SHIFT, "SECOND", 0,
+     "Second at which the popular histories change", 0},
+    {"samples", OPTION_SAMPLES, NULL, 0, "Print the delay of each first token",
+     0},
     {0},
 };
 
@@ -79,18 +85,18 @@
 parse_option(int key, char *value, struct argp_state *state)
 {
     Load_t *this = state->input;
-    const Profile_t *profile = NULL;
+    const LoadProfile_t *profile = NULL;
     switch (key) {
     case OPTION_TARGET:
-        g_ptr_array_add(this->targets, value);
+        g_ptr_array_add(this->addresses, value);
         break;
     case OPTION_DIRECT:
         this->direct = TRUE;
         break;
     case OPTION_PROFILE:
-        profile = Workload_profile(value);
+        profile = Workload_findProfile(value);
         if (!profile) {
-            argp_error(state, "no profile %s", value);
+            argp_error(state, "unknown profile: %s", value);
             break;
         }
         this->profile = *profile;
@@ -117,10 +123,10 @@
         this->profile.answer_tokens = (guint)g_ascii_strtoull(value, NULL, 10);
         break;
     case OPTION_SHIFT:
-        this->shift_at = g_ascii_strtod(value, NULL);
+        this->shift_at_s = g_ascii_strtod(value, NULL);
         break;
     case OPTION_SAMPLES:
-        this->samples = TRUE;
+        this->print_samples = TRUE;
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -128,51 +134,53 @@
     return 0;
 }
 
-static void ask(Load_t *this, gint64 due_us);
+static void send_next(Load_t *this, gint64 due_us);
 
 static void
 on_stream_done(void *data)
 {
     Load_t *this = data;
-    this->open--;
-    if (this->streams > 0 && !this->ending) {
-        ask(this, Clock_nowUs());
+    this->in_flight--;
+    if (this->streams > 0 && !this->is_ending) {
+        send_next(this, Clock_nowUs());
     }
-    if (this->ending && this->open == 0) {
+    if (this->is_ending && this->in_flight == 0) {
         event_base_loopbreak(this->base);
     }
 }
 
 static void
-ask(Load_t *this, gint64 due_us)
+send_next(Load_t *this, gint64 due_us)
 {
     if (this->count > 0 && this->results.asked >= this->count) {
-        this->ending = TRUE;
+        this->is_ending = TRUE;
         return;
     }
-    Asked_t *asked = Workload_next(this->workload);
+    LoadRequest_t *request = Workload_createRequest(this->workload);
     LoadTarget_t *target =
-        &this->routers[this->next_target++ % this->targets->len];
-    target->authorization = g_ptr_array_index(this->keys, asked->customer);
+        &this->load_targets[this->next_target++ % this->addresses->len];
+    target->authorization =
+        g_ptr_array_index(this->authorizations, request->customer);
     target->deadline_ms = this->profile.deadline_ms;
-    target->priority = asked->urgent ? "high" : "low";
-    this->open++;
-    LoadStream_start(target, asked, due_us, &this->results, on_stream_done,
+    target->priority = request->urgent ? "high" : "low";
+    this->in_flight++;
+    LoadStream_start(target, request, due_us, &this->results, on_stream_done,
                      this);
 }
 
 static void
-maybe_shift(Load_t *this)
+shift_if_due(Load_t *this)
 {
-    gint64 passed = this->due_us - this->began_us;
-    if (this->shift_at > 0 && !this->shifted &&
-        (double)passed >= this->shift_at * US_PER_S) {
-        this->shifted = TRUE;
-        Workload_shift(this->workload);
+    gint64 elapsed_us = this->due_us - this->start_us;
+    if (this->shift_at_s > 0 && !this->is_shifted &&
+        (double)elapsed_us >= this->shift_at_s * US_PER_S) {
+        this->is_shifted = TRUE;
+        Workload_shiftHistories(this->workload);
     }
 }
 
-/* Asks for all that are due; a loop that was late catches up. */
+/* Sends every request that is due, including those that became due while the
+ * event loop was late. */
 static void
 on_arrival(evutil_socket_t fd, short what, void *data)
 {
@@ -180,14 +188,14 @@
     (void)what;
     Load_t *this = data;
     gint64 now_us = Clock_nowUs();
-    while (this->due_us <= now_us && !this->ending) {
-        maybe_shift(this);
-        ask(this, this->due_us);
-        this->due_us += Workload_gapUs(this->workload, this->rate);
+    while (this->due_us <= now_us && !this->is_ending) {
+        shift_if_due(this);
+        send_next(this, this->due_us);
+        this->due_us += Workload_drawGapUs(this->workload, this->rate);
     }
-    if (!this->ending) {
-        gint64 wait = this->due_us - now_us;
-        struct timeval time = {wait / US_PER_S, wait % US_PER_S};
+    if (!this->is_ending) {
+        gint64 wait_us = this->due_us - now_us;
+        struct timeval time = {wait_us / US_PER_S, wait_us % US_PER_S};
         evtimer_add(this->arrival, &time);
     }
 }
@@ -198,14 +206,14 @@
     (void)fd;
     (void)what;
     Load_t *this = data;
-    this->ending = TRUE;
-    if (this->open == 0) {
+    this->is_ending = TRUE;
+    if (this->in_flight == 0) {
         event_base_loopbreak(this->base);
     }
 }
 
 static json_t *
-quantiles(const Histogram_t *histogram)
+create_quantiles(const Histogram_t *histogram)
 {
     return json_pack(
         "{s:f, s:f, s:f, s:f, s:I}", "p50",
@@ -217,7 +225,7 @@
 }
 
 static json_t *
-reasons_of(const Results_t *results)
+create_reasons(const LoadResults_t *results)
 {
     json_t *reasons = json_object();
     GHashTableIter iter;
@@ -232,16 +240,16 @@
 }
 
 static json_t *
-samples_of(const Load_t *this)
+create_samples(const Load_t *this)
 {
     json_t *list = json_array();
     const GArray *samples = this->results.samples;
-    for (guint i = 0; this->samples && i + 1 < samples->len; i += 2) {
-        double due = (double)g_array_index(samples, guint64, i) -
-                     (double)this->began_us;
-        double first = (double)g_array_index(samples, guint64, i + 1);
-        json_array_append_new(
-            list, json_pack("[f, f]", due / US_PER_S, first / 1000.0));
+    for (guint i = 0; this->print_samples && i + 1 < samples->len; i += 2) {
+        double due_us = (double)g_array_index(samples, guint64, i) -
+                        (double)this->start_us;
+        double first_token_us = (double)g_array_index(samples, guint64, i + 1);
+        json_array_append_new(list, json_pack("[f, f]", due_us / US_PER_S,
+                                              first_token_us / 1000.0));
     }
     return list;
 }
@@ -249,21 +257,22 @@
 static void
 print_results(const Load_t *this)
 {
-    const Results_t *results = &this->results;
-    double seconds = (double)(Clock_nowUs() - this->began_us) / US_PER_S;
+    const LoadResults_t *results = &this->results;
+    double elapsed_s = (double)(Clock_nowUs() - this->start_us) / US_PER_S;
     json_t *root = json_pack(
         "{s:f, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:f, s:I, s:I, s:o, s:o, "
         "s:o, s:o}",
-        "seconds", seconds, "asked", (json_int_t)results->asked, "whole",
-        (json_int_t)results->whole, "broken", (json_int_t)results->broken,
+        "seconds", elapsed_s, "asked", (json_int_t)results->asked, "whole",
+        (json_int_t)results->complete, "broken", (json_int_t)results->broken,
         "wrong", (json_int_t)results->wrong, "refused",
         (json_int_t)results->refused, "late", (json_int_t)results->late,
         "tokens", (json_int_t)results->tokens, "tokens_per_second",
-        (double)results->tokens / seconds, "urgent_asked",
+        (double)results->tokens / elapsed_s, "urgent_asked",
         (json_int_t)results->urgent_asked, "urgent_in_time",
-        (json_int_t)results->urgent_in_time, "reasons", reasons_of(results),
-        "first_token_ms", quantiles(&results->first_token), "gap_ms",
-        quantiles(&results->gaps), "samples", samples_of(this));
+        (json_int_t)results->urgent_in_time, "reasons",
+        create_reasons(results), "first_token_ms",
+        create_quantiles(&results->first_token), "gap_ms",
+        create_quantiles(&results->gaps), "samples", create_samples(this));
     char *text = json_dumps(root, JSON_INDENT(1) | JSON_REAL_PRECISION(6));
     puts(text);
     free(text);
@@ -273,23 +282,24 @@
 static void
 create_targets(Load_t *this)
 {
-    this->routers = g_new0(LoadTarget_t, this->targets->len);
-    for (guint i = 0; i < this->targets->len; i++) {
-        char *text = g_ptr_array_index(this->targets, i);
+    this->load_targets = g_new0(LoadTarget_t, this->addresses->len);
+    for (guint i = 0; i < this->addresses->len; i++) {
+        char *text = g_ptr_array_index(this->addresses, i);
         char *colon = strrchr(text, ':');
         if (!colon) {
-            fprintf(stderr, "wt-load: bad target %s\n", text);
+            fprintf(stderr, "wt-load: target %s has no port\n", text);
             exit(2);
         }
         *colon = '\0';
-        this->routers[i].base = this->base;
-        this->routers[i].host = text;
-        this->routers[i].port = (guint16)strtoul(colon + 1, NULL, 10);
-        this->routers[i].direct = this->direct;
+        this->load_targets[i].base = this->base;
+        this->load_targets[i].host = text;
+        this->load_targets[i].port = (guint16)strtoul(colon + 1, NULL, 10);
+        this->load_targets[i].direct = this->direct;
     }
-    this->keys = g_ptr_array_new_with_free_func(g_free);
+    this->authorizations = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; i < this->profile.customers; i++) {
-        g_ptr_array_add(this->keys, g_strdup_printf("Bearer c%u-key", i));
+        g_ptr_array_add(this->authorizations,
+                        g_strdup_printf("Bearer c%u-key", i));
     }
 }
 
@@ -299,13 +309,13 @@
     struct event *end = Clock_timer(this->base, on_end, this);
     this->arrival = Clock_timer(this->base, on_arrival, this);
     Clock_arm(end, (gint64)(this->seconds * 1000));
-    this->began_us = Clock_nowUs();
-    this->due_us = this->began_us;
+    this->start_us = Clock_nowUs();
+    this->due_us = this->start_us;
     if (this->rate > 0) {
         Clock_arm(this->arrival, 0);
     }
     for (guint i = 0; i < this->streams; i++) {
-        ask(this, Clock_nowUs());
+        send_next(this, Clock_nowUs());
     }
     event_base_dispatch(this->base);
     event_free(end);
@@ -319,14 +329,14 @@
         .options = options,
         .parser = parse_option,
         .doc = "Load and experiment tool of wheattiller."};
-    Load_t this = {.targets = g_ptr_array_new(),
+    Load_t this = {.addresses = g_ptr_array_new(),
                    .model = "m",
                    .seconds = 5.0,
                    .seed = 1,
-                   .profile = *Workload_profile("small")};
+                   .profile = *Workload_findProfile("small")};
     signal(SIGPIPE, SIG_IGN);
     argp_parse(&parser, argc, argv, 0, NULL, &this);
-    if (this.targets->len == 0 || (this.rate <= 0 && this.streams == 0)) {
+    if (this.addresses->len == 0 || (this.rate <= 0 && this.streams == 0)) {
         fputs("wt-load: needs --target, and --rate or --streams\n", stderr);
         return 2;
     }
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,5 +1,6 @@
-"""Policies compared on the same arrivals: token hit rate, computed tokens,
-time to first token; and a hot prefix that moves."""
+"""Compares placement policies on the same arrivals: cache hit rate, computed
+tokens and time to first token; also a change of the popular prefixes and an
+overload."""
 import statistics
 
 from experiment import LoadCluster, engine_totals, load
@@ -12,7 +13,7 @@
 POLICIES = ("round_robin", "least_loaded", "prefix")
 
 
-def run(policy, profile, seed, routers=ROUTERS, **options):
+def run_load(policy, profile, seed, routers=ROUTERS, **options):
     with LoadCluster() as cluster:
         engines = []
         for number in range(ENGINES):
@@ -24,29 +25,30 @@
                 "address = %s\nhall = %s" % (engine.address, hall))
             engines.append(engine)
         targets = cluster.start_load(routers, policy=policy)
-        found = load(targets, profile=profile, seed=seed,
+        result = load(targets, profile=profile, seed=seed,
                      **{"rate": RATES[profile], "seconds": SECONDS, **options})
         totals = engine_totals(engines)
-        found["hit_rate"] = totals["cached_tokens"] / totals["prompt_tokens"]
-        found["computed"] = totals["prompt_tokens"] - totals["cached_tokens"]
-        found["recomputed"] = totals["recomputed_tokens"]
-        return found
+        result["hit_rate"] = totals["cached_tokens"] / totals["prompt_tokens"]
+        result["computed"] = totals["prompt_tokens"] - totals["cached_tokens"]
+        result["recomputed"] = totals["recomputed_tokens"]
+        return result
 
 
-def spread(values, form):
+def format_spread(values, form):
     return "%s (%s to %s)" % tuple(form % value for value in (
         statistics.median(values), min(values), max(values)))
 
 
-def show(name, runs):
-    first = [run["first_token_ms"] for run in runs]
+def print_runs(name, runs):
+    first_token = [run["first_token_ms"] for run in runs]
     print("%-24s hit %s  p50 %s  p99 %s ms  computed %s k  recomputed %s k  "
           "whole %d of %d" % (
-              name, spread([run["hit_rate"] for run in runs], "%.3f"),
-              spread([f["p50"] for f in first], "%.0f"),
-              spread([f["p99"] for f in first], "%.0f"),
-              spread([run["computed"] / 1000 for run in runs], "%.0f"),
-              spread([run["recomputed"] / 1000 for run in runs], "%.0f"),
+              name, format_spread([run["hit_rate"] for run in runs], "%.3f"),
+              format_spread([f["p50"] for f in first_token], "%.0f"),
+              format_spread([f["p99"] for f in first_token], "%.0f"),
+              format_spread([run["computed"] / 1000 for run in runs], "%.0f"),
+              format_spread([run["recomputed"] / 1000 for run in runs],
+                            "%.0f"),
               sum(run["whole"] for run in runs),
               sum(run["asked"] for run in runs)), flush=True)
 
@@ -56,7 +58,8 @@
         print("profile %s, %d requests/s, %d routers, %d engines, seeds %s" % (
             profile, RATES[profile], ROUTERS, ENGINES, SEEDS))
         for policy in POLICIES:
-            show(policy, [run(policy, profile, seed) for seed in SEEDS])
+            print_runs(policy, [run_load(policy, profile, seed)
+                                for seed in SEEDS])
 
 
 def percentile(values, share):
@@ -65,13 +68,13 @@
 
 
 def shift(seconds=30, at=12):
-    """The hot histories change all at once."""
+    """Shows the delay around a change of all popular histories."""
     for policy in ("least_loaded", "prefix"):
-        found = run(policy, "rosario", 1, seconds=seconds, shift=at,
-                    samples=True)
+        result = run_load(policy, "rosario", 1, seconds=seconds, shift=at,
+                          samples=True)
         line = []
         for begin in range(0, seconds, 3):
-            part = [first for due, first in found["samples"]
+            part = [first for due, first in result["samples"]
                     if begin <= due < begin + 3]
             if part:
                 line.append("%.0f" % percentile(part, 0.95))
@@ -80,11 +83,11 @@
 
 
 def overload():
-    """Half as much again as the engines can do."""
+    """Sends requests at 1.5 times the rate that the engines can serve."""
     for policy in ("least_loaded", "prefix"):
-        found = run(policy, "rosario", 1, rate=RATES["rosario"] * 3)
+        result = run_load(policy, "rosario", 1, rate=RATES["rosario"] * 3)
         print("%-14s at three times the rate: urgent in time %d of %d, whole "
               "%d, late %d, refused %d %s" % (
-                  policy, found["urgent_in_time"], found["urgent_asked"],
-                  found["whole"], found["late"], found["refused"],
-                  found["reasons"]), flush=True)
+                  policy, result["urgent_in_time"], result["urgent_asked"],
+                  result["whole"], result["late"], result["refused"],
+                  result["reasons"]), flush=True)
--- a/bench/replay_main.c
+++ b/bench/replay_main.c
@@ -1,8 +1,9 @@
 /**
  * DOC: replay
  *
- * Plays loads of files against the product's decisions and prints what became
- * of the requests, with all decisions on and with some of them off.
+ * Replays load files against the router's decisions (Replay.h) and prints the
+ * outcomes of the requests, with all decisions enabled and, for --off, with
+ * one decision disabled.
  */
 #include <argp.h>
 #include <sodium.h>
@@ -13,14 +14,14 @@
 #include "Problem.h"
 #include "Replay.h"
 
-#define SEEDS_MOST 100
-#define FILES_MOST 32
-#define OFF_MOST 16
+#define SEEDS_MAX 100
+#define FILES_MAX 32
+#define OFF_MAX 16
 
 typedef struct {
-    const char *files[FILES_MOST];
+    const char *files[FILES_MAX];
     guint file_count;
-    const char *off[OFF_MOST];
+    const char *off[OFF_MAX];
     guint off_count;
     guint seeds;
     gboolean json;
@@ -29,9 +30,9 @@
 typedef struct {
     const char *name;
     guint decision;
-} Name_t;
+} DecisionName_t;
 
-static const Name_t names[] = {
+static const DecisionName_t decision_names[] = {
     {"slots", REPLAY_SLOTS},
     {"shed", REPLAY_SHED},
     {"memory", REPLAY_MEMORY},
@@ -40,43 +41,43 @@
 };
 
 static const struct argp_option options[] = {
-    {"seeds", 's', "N", 0, "Play each with so many seeds (3)", 0},
+    {"seeds", 's', "N", 0, "Replay each load with N seeds (default 3)", 0},
     {"off", 'o', "DECISION", 0,
-     "Play it as well without slots, shed, memory or prefix", 0},
-    {"json", 'j', NULL, 0, "A line of JSON for each play", 0},
+     "Also replay without DECISION: slots, shed, memory or prefix", 0},
+    {"json", 'j', NULL, 0, "Print a line of JSON for each replay", 0},
     {0},
 };
 
 static guint
 find_decision(const char *name)
 {
-    for (const Name_t *at = names; at->name; at++) {
-        if (strcmp(at->name, name) == 0) {
-            return at->decision;
+    for (const DecisionName_t *entry = decision_names; entry->name; entry++) {
+        if (strcmp(entry->name, name) == 0) {
+            return entry->decision;
         }
     }
     return 0;
 }
 
 static error_t
-parse(int key, char *text, struct argp_state *state)
+parse_option(int key, char *text, struct argp_state *state)
 {
     Options_t *this = state->input;
     switch (key) {
     case 's':
-        this->seeds = (guint)CLAMP(strtol(text, NULL, 10), 1, SEEDS_MOST);
+        this->seeds = (guint)CLAMP(strtol(text, NULL, 10), 1, SEEDS_MAX);
         return 0;
     case 'j':
         this->json = TRUE;
         return 0;
     case 'o':
-        if (find_decision(text) == 0 || this->off_count == OFF_MOST) {
-            argp_error(state, "no such decision: %s", text);
+        if (find_decision(text) == 0 || this->off_count == OFF_MAX) {
+            argp_error(state, "unknown decision, or too many: %s", text);
         }
         this->off[this->off_count++] = text;
         return 0;
     case ARGP_KEY_ARG:
-        if (this->file_count == FILES_MOST) {
+        if (this->file_count == FILES_MAX) {
             argp_error(state, "too many files");
         }
         this->files[this->file_count++] = text;
@@ -91,17 +92,17 @@
 
 static const struct argp argp = {
     options,
-    parse,
+    parse_option,
     "FILE...",
-    "Play loads against the decisions of the router, without a router.",
+    "Replay loads against the decisions of the router, without a router.",
     NULL,
     NULL,
     NULL};
 
 typedef struct {
-    double worth[SEEDS_MOST];
+    double values[SEEDS_MAX];
     ReplayResult_t last;
-} Plays_t;
+} Replays_t;
 
 static gint
 compare_doubles(gconstpointer a, gconstpointer b)
@@ -118,9 +119,9 @@
     printf("{\"load\":\"%s\",\"off\":\"%s\",\"seed\":%" G_GINT64_FORMAT
            ",\"worth\":%.4f,\"read_tokens\":%" G_GUINT64_FORMAT
            ",\"again_tokens\":%" G_GUINT64_FORMAT ",\"decision_us\":%.2f",
-           file, off, seed, ReplayResult_worth(result), result->read_tokens,
-           result->again_tokens, result->decision_us);
-    for (guint kind = 0; kind < REPLAY_KINDS; kind++) {
+           file, off, seed, ReplayResult_computeValue(result),
+           result->read_tokens, result->reread_tokens, result->decision_us);
+    for (guint kind = 0; kind < REPLAY_KINDS_MAX; kind++) {
         const ReplayCount_t *count = &result->kinds[kind];
         if (count->asked > 0) {
             printf(",\"kind-%u\":{\"asked\":%u,\"in_time\":%u,\"late\":%u,"
@@ -135,14 +136,16 @@
 }
 
 static void
-print_row(const char *file, const char *off, const Plays_t *plays, guint seeds)
+print_row(const char *file, const char *off, const Replays_t *replays,
+          guint seeds)
 {
-    const ReplayResult_t *last = &plays->last;
+    const ReplayResult_t *last = &replays->last;
     printf("%-28s %-8s %6.3f %6.3f %7.1f %7.1f %6.1f", file, *off ? off : "-",
-           plays->worth[seeds / 2], plays->worth[seeds - 1] - plays->worth[0],
-           (double)last->read_tokens / 1e6, (double)last->again_tokens / 1e6,
+           replays->values[seeds / 2],
+           replays->values[seeds - 1] - replays->values[0],
+           (double)last->read_tokens / 1e6, (double)last->reread_tokens / 1e6,
            last->decision_us);
-    for (guint kind = 0; kind < REPLAY_KINDS; kind++) {
+    for (guint kind = 0; kind < REPLAY_KINDS_MAX; kind++) {
         const ReplayCount_t *count = &last->kinds[kind];
         if (count->asked > 0) {
             printf(" | %6u %6u %5u %5u %5u %6.0f %6.0f", count->asked,
@@ -154,27 +157,27 @@
 }
 
 static void
-play(const Options_t *this, const char *file, const ReplaySpec_t *spec,
-     const char *off)
+replay_seeds(const Options_t *this, const char *file, const ReplaySpec_t *spec,
+             const char *off)
 {
-    Plays_t plays;
+    Replays_t replays;
     ReplaySpec_t seeded = *spec;
     for (guint seed = 0; seed < this->seeds; seed++) {
         seeded.fleet.seed = spec->fleet.seed + seed;
-        Replay_play(&seeded, REPLAY_ALL & ~find_decision(off), &plays.last);
-        plays.worth[seed] = ReplayResult_worth(&plays.last);
+        Replay_run(&seeded, REPLAY_ALL & ~find_decision(off), &replays.last);
+        replays.values[seed] = ReplayResult_computeValue(&replays.last);
         if (this->json) {
-            print_json(file, off, seeded.fleet.seed, &plays.last);
+            print_json(file, off, seeded.fleet.seed, &replays.last);
         }
     }
-    qsort(plays.worth, this->seeds, sizeof(double), compare_doubles);
+    qsort(replays.values, this->seeds, sizeof(double), compare_doubles);
     if (!this->json) {
-        print_row(file, off, &plays, this->seeds);
+        print_row(file, off, &replays, this->seeds);
     }
 }
 
 static int
-play_file(const Options_t *this, const char *path)
+replay_file(const Options_t *this, const char *path)
 {
     ReplaySpec_t spec;
     g_autoptr(GPtrArray) problems = Problems_create();
@@ -187,9 +190,9 @@
         return EXIT_FAILURE;
     }
     g_autofree char *name = g_path_get_basename(path);
-    play(this, name, &spec, "");
+    replay_seeds(this, name, &spec, "");
     for (guint i = 0; i < this->off_count; i++) {
-        play(this, name, &spec, this->off[i]);
+        replay_seeds(this, name, &spec, this->off[i]);
     }
     return EXIT_SUCCESS;
 }
@@ -210,7 +213,7 @@
     }
     int result = EXIT_SUCCESS;
     for (guint i = 0; i < this.file_count; i++) {
-        if (play_file(&this, this.files[i]) != EXIT_SUCCESS) {
+        if (replay_file(&this, this.files[i]) != EXIT_SUCCESS) {
             result = EXIT_FAILURE;
         }
     }
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Runs experiments by name, or the usual ones."""
+"""Runs the experiments named on the command line, or the default ones."""
 import sys
 
 import placement
@@ -15,11 +15,11 @@
     "overload": placement.overload,
 }
 
-USUAL = ("throughput", "delay", "together")
+DEFAULT = ("throughput", "delay", "together")
 
 
 def main():
-    for name in sys.argv[1:] or USUAL:
+    for name in sys.argv[1:] or DEFAULT:
         print("== " + name)
         EXPERIMENTS[name]()
 
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -1,9 +1,9 @@
 /**
  * DOC: slopes
  *
- * Measures what each unit of state and each decision costs, for
- * docs/CAPACITY.md: memory by the allocator's own count, processor time by
- * the process's clock.
+ * Measures the memory per stored object and the processor time per decision,
+ * for docs/CAPACITY.md. Memory is what the allocator reports as in use; time
+ * is the processor time of the process.
  */
 #include <malloc.h>
 #include <sodium.h>
@@ -20,12 +20,12 @@
 #include "Trace.h"
 #include "UpstreamSet.h"
 
-#define CUSTOMERS 14000
-#define PREFIXES 65536
-#define DECISIONS 20000
-#define PARSES 2000
-#define HALLS 27
-#define REGIONS 12
+#define CUSTOMER_COUNT 14000
+#define PREFIX_COUNT 65536
+#define DECISION_COUNT 20000
+#define REPEAT_COUNT 2000
+#define HALL_COUNT 27
+#define REGION_COUNT 12
 
 static double
 cpu_us(void)
@@ -36,21 +36,21 @@
 }
 
 static size_t
-memory(void)
+memory_in_use(void)
 {
     struct mallinfo2 info = mallinfo2();
     return info.uordblks + info.hblkhd;
 }
 
 static void
-report(const char *what, double value, const char *unit)
+print_row(const char *what, double value, const char *unit)
 {
     printf("%-58s %10.2f %s\n", what, value, unit);
 }
 
 static void
-fold(ConfigStore_t *store, guint64 offset, const char *kind, const char *name,
-     const char *const *pairs)
+fold_record(ConfigStore_t *store, guint64 offset, const char *kind,
+            const char *name, const char *const *pairs)
 {
     Wt__Field fields[8];
     Wt__Field *list[8];
@@ -83,44 +83,48 @@
 measure_customers(void)
 {
     ConfigStore_t *store = ConfigStore_create(NULL, NULL);
-    size_t before = memory();
-    double began = cpu_us();
-    for (guint64 i = 0; i < CUSTOMERS; i++) {
+    size_t memory_before = memory_in_use();
+    double start_us = cpu_us();
+    for (guint64 i = 0; i < CUSTOMER_COUNT; i++) {
         g_autofree char *name = g_strdup_printf("customer-%u", (guint)i);
         g_autofree char *hash = g_strdup_printf("%064x", (guint)i);
         const char *pairs[] = {"key_hash", hash,           "rate",
                                "100",      "max_priority", "high",
                                "class",    "standard",     NULL};
-        fold(store, i, "customer", name, pairs);
+        fold_record(store, i, "customer", name, pairs);
     }
-    report("a declared customer", (double)(memory() - before) / CUSTOMERS,
-           "bytes");
-    report("folding one configuration change", (cpu_us() - began) / CUSTOMERS,
-           "us");
+    print_row("a declared customer",
+              (double)(memory_in_use() - memory_before) / CUSTOMER_COUNT,
+              "bytes");
+    print_row("folding one configuration change",
+              (cpu_us() - start_us) / CUSTOMER_COUNT, "us");
     guint8 digest[16];
-    began = cpu_us();
+    start_us = cpu_us();
     ConfigStore_digest(store, digest);
-    report("digest over 14,000 customers", (cpu_us() - began) / 1000, "ms");
+    print_row("digest over 14,000 customers", (cpu_us() - start_us) / 1000,
+              "ms");
     ConfigStore_destroy(store);
 }
 
 static void
-measure_usage(void)
+measure_limits(void)
 {
-    RateCountTable_t *book = RateCountTable_create();
+    RateCountTable_t *table = RateCountTable_create();
     RateClaim_t claim = {.limit = {.per_s = 100, .burst = 100}, .units = 1};
-    size_t before = memory();
-    double began = cpu_us();
-    for (guint i = 0; i < CUSTOMERS; i++) {
+    size_t memory_before = memory_in_use();
+    double start_us = cpu_us();
+    for (guint i = 0; i < CUSTOMER_COUNT; i++) {
         g_autofree char *name = g_strdup_printf("customer-%u", i);
         claim.subject = name;
         claim.from = i + 1;
-        RateCountTable_decide(book, &claim, 0);
+        RateCountTable_decide(table, &claim, 0);
     }
-    report("count of a customer's limit",
-           (double)(memory() - before) / CUSTOMERS, "bytes");
-    report("ruling on one request", (cpu_us() - began) / CUSTOMERS, "us");
-    RateCountTable_destroy(book);
+    print_row("count of a customer's limit",
+              (double)(memory_in_use() - memory_before) / CUSTOMER_COUNT,
+              "bytes");
+    print_row("deciding one request by a limit",
+              (cpu_us() - start_us) / CUSTOMER_COUNT, "us");
+    RateCountTable_destroy(table);
 }
 
 static GPtrArray *
@@ -133,8 +137,9 @@
                                .region = g_string_new(NULL),
                                .serves = g_ptr_array_new(),
                                .slots = 100};
-        g_string_printf(spec.hall, "hall-%u", i % HALLS);
-        g_string_printf(spec.region, "region-%u", i % HALLS % REGIONS);
+        g_string_printf(spec.hall, "hall-%u", i % HALL_COUNT);
+        g_string_printf(spec.region, "region-%u",
+                        i % HALL_COUNT % REGION_COUNT);
         g_ptr_array_add(list, Upstream_create(NULL, name, &spec, 0));
         g_string_free(spec.hall, TRUE);
         g_string_free(spec.region, TRUE);
@@ -144,7 +149,7 @@
 }
 
 static Placement_t
-placement(const GPtrArray *upstreams, guint64 request)
+create_placement(const GPtrArray *upstreams, guint64 request)
 {
     guint64 history = (request % 5000) * 0x9e3779b97f4a7c15U;
     return (Placement_t){.target = "m",
@@ -162,17 +167,17 @@
 static void
 measure_decisions(PolicyName_t name, guint count)
 {
-    size_t before = memory();
+    size_t memory_before = memory_in_use();
     GPtrArray *upstreams = create_upstreams(count);
-    double each = (double)(memory() - before) / count;
+    double bytes_each = (double)(memory_in_use() - memory_before) / count;
     Policy_t *policy = Policies_create(name);
-    double began = cpu_us();
-    Placement_t first = placement(upstreams, 0);
+    double start_us = cpu_us();
+    Placement_t first = create_placement(upstreams, 0);
     Policy_choose(policy, &first);
-    double ring = cpu_us() - began;
-    began = cpu_us();
-    for (guint64 i = 0; i < DECISIONS; i++) {
-        Placement_t request = placement(upstreams, i);
+    double ring_us = cpu_us() - start_us;
+    start_us = cpu_us();
+    for (guint64 i = 0; i < DECISION_COUNT; i++) {
+        Placement_t request = create_placement(upstreams, i);
         Choice_t choice = Policy_choose(policy, &request);
         Policy_commit(policy, &request, &choice);
         Policy_learn(policy, &request, choice.upstream, 0, 0);
@@ -180,10 +185,11 @@
     g_autofree char *what =
         g_strdup_printf("a decision of %s among %u upstreams, with learning",
                         policy->class->name, count);
-    report(what, (cpu_us() - began) / DECISIONS, "us");
-    g_autofree char *rings = g_strdup_printf("rings of %u upstreams", count);
-    report(rings, ring / 1000, "ms");
-    report("an upstream", each, "bytes");
+    print_row(what, (cpu_us() - start_us) / DECISION_COUNT, "us");
+    g_autofree char *rings_text =
+        g_strdup_printf("rings of %u upstreams", count);
+    print_row(rings_text, ring_us / 1000, "ms");
+    print_row("an upstream", bytes_each, "bytes");
     Policy_destroy(policy);
     for (guint i = 0; i < count; i++) {
         Upstream_unref(g_ptr_array_index(upstreams, i));
@@ -195,13 +201,14 @@
 measure_prefixes(void)
 {
     GPtrArray *upstreams = create_upstreams(1);
-    Residency_t *table = Residency_create(PREFIXES);
-    size_t before = memory();
-    for (guint64 i = 0; i < PREFIXES; i++) {
+    Residency_t *table = Residency_create(PREFIX_COUNT);
+    size_t memory_before = memory_in_use();
+    for (guint64 i = 0; i < PREFIX_COUNT; i++) {
         Residency_note(table, i, g_ptr_array_index(upstreams, 0), 1);
     }
-    report("a remembered prefix", (double)(memory() - before) / PREFIXES,
-           "bytes");
+    print_row("a stored prefix",
+              (double)(memory_in_use() - memory_before) / PREFIX_COUNT,
+              "bytes");
     Residency_destroy(table);
     Upstream_unref(g_ptr_array_index(upstreams, 0));
     g_ptr_array_unref(upstreams);
@@ -221,21 +228,23 @@
     }
     g_string_append(text, "\"},{\"role\":\"user\",\"content\":\"z\"}]}");
     gboolean bad_json = FALSE;
-    double began = cpu_us();
-    for (guint i = 0; i < PARSES; i++) {
+    double start_us = cpu_us();
+    for (guint i = 0; i < REPEAT_COUNT; i++) {
         Prompt_destroy(
             Prompt_create(TRUE, text->str, text->len, &bad_json, NULL));
     }
-    report("reading a prompt of 22 KB", (cpu_us() - began) / PARSES, "us");
+    print_row("parsing a prompt of 22 KB",
+              (cpu_us() - start_us) / REPEAT_COUNT, "us");
     guint8 key[32] = {0};
     GBytes *bytes = g_bytes_new(key, sizeof(key));
     SaltInput_t input = {"customer", "model", "v1", "", ""};
     char salt[SALT_LENGTH + 1];
-    began = cpu_us();
-    for (guint i = 0; i < PARSES; i++) {
+    start_us = cpu_us();
+    for (guint i = 0; i < REPEAT_COUNT; i++) {
         Salt_make(&input, bytes, salt);
     }
-    report("making a cache salt", (cpu_us() - began) / PARSES, "us");
+    print_row("making a cache salt", (cpu_us() - start_us) / REPEAT_COUNT,
+              "us");
     g_bytes_unref(bytes);
     g_string_free(text, TRUE);
 }
@@ -244,15 +253,15 @@
 measure_traces(void)
 {
     Traces_t *traces = Traces_create();
-    size_t before = memory();
+    size_t memory_before = memory_in_use();
     for (guint i = 0; i < TRACES_MAX; i++) {
         Trace_t *trace =
             Trace_create("0123456789abcdef0123456789abcdef", "customer", "m");
         Trace_addAttempt(trace, "engine-1", "holder");
         Traces_add(traces, trace);
     }
-    report("the trace of an ended request",
-           (double)(memory() - before) / TRACES_MAX, "bytes");
+    print_row("the trace of an ended request",
+              (double)(memory_in_use() - memory_before) / TRACES_MAX, "bytes");
     Traces_destroy(traces);
 }
 
@@ -264,7 +273,7 @@
     }
     Random_seed(1);
     measure_customers();
-    measure_usage();
+    measure_limits();
     measure_decisions(POLICY_PREFIX, 10);
     measure_decisions(POLICY_HOME, 10);
     measure_decisions(POLICY_PREFIX, 100);
--- a/tests/test_CrashReplay.c
+++ b/tests/test_CrashReplay.c
@@ -18,25 +18,25 @@
     guint late;
     double served;
     guint refused;
-    guint proper;
+    guint harmless_requests;
 } PlaySum_t;
 
 static PlaySum_t
-play(CrashMemory_t memory, guint poison, guint lost_percent)
+play(CrashMemory_t memory, guint poison, guint outage_percent)
 {
     PlaySum_t sum = {0};
     for (guint32 seed = 1; seed <= SEEDS; seed++) {
         CrashReplaySpec_t spec = CrashReplaySpec_default(seed);
-        spec.deadly = poison;
-        spec.lost_percent = lost_percent;
-        spec.lost_times = lost_percent > 0 ? 3 : 0;
-        spec.lost_every_ms = 5000;
+        spec.poison_count = poison;
+        spec.outage_percent = outage_percent;
+        spec.outage_count = outage_percent > 0 ? 3 : 0;
+        spec.outage_interval_ms = 5000;
         spec.memory = memory;
         CrashReplayResult_t result = CrashReplay_run(&spec);
-        sum.late = MAX(sum.late, result.late_most);
-        sum.served += (double)result.served / result.proper / SEEDS;
+        sum.late = MAX(sum.late, result.late_max);
+        sum.served += (double)result.served / result.harmless_requests / SEEDS;
         sum.refused += result.refused;
-        sum.proper += result.proper;
+        sum.harmless_requests += result.harmless_requests;
     }
     return sum;
 }
@@ -57,21 +57,23 @@
 /* Without gossip a poison request goes on through the other routers. */
 START_TEST(local_knowledge_of_each_router_is_not_enough)
 {
-    ck_assert_uint_gt(play(CRASH_MEMORY_OWN, 1, 0).late, LATE_MAX);
+    ck_assert_uint_gt(play(CRASH_MEMORY_LOCAL, 1, 0).late, LATE_MAX);
 }
 END_TEST
 
 START_TEST(engines_that_end_by_themselves_quarantine_no_request)
 {
     PlaySum_t sum = play(CRASH_MEMORY_ALL, 0, 34);
-    ck_assert_uint_le(sum.refused * 1000, sum.proper * REFUSED_PER_1000_MAX);
+    ck_assert_uint_le(sum.refused * 1000,
+                      sum.harmless_requests * REFUSED_PER_1000_MAX);
 }
 END_TEST
 
 START_TEST(harmless_requests_are_served_beside_a_poison_request)
 {
     PlaySum_t sum = play(CRASH_MEMORY_ALL, 1, 0);
-    ck_assert_uint_le(sum.refused * 1000, sum.proper * REFUSED_PER_1000_MAX);
+    ck_assert_uint_le(sum.refused * 1000,
+                      sum.harmless_requests * REFUSED_PER_1000_MAX);
     ck_assert(sum.served > 0.99);
 }
 END_TEST
@@ -82,10 +84,10 @@
 START_TEST(requests_completed_before_are_exempt)
 {
     CrashReplaySpec_t spec = CrashReplaySpec_default(1);
-    spec.deadly = 5;
+    spec.poison_count = 5;
     spec.memory = CRASH_MEMORY_ALL;
     guint with = CrashReplay_run(&spec).refused;
-    spec.remember_ms = 0;
+    spec.success_memory_ms = 0;
     ck_assert_uint_lt(2 * with, CrashReplay_run(&spec).refused);
 }
 END_TEST
--- a/tests/test_Replay.c
+++ b/tests/test_Replay.c
@@ -53,8 +53,8 @@
         ReplaySpec_t spec = load(text);
         ReplayResult_t result;
         spec.fleet.seed = seed;
-        Replay_play(&spec, decisions, &result);
-        sum += ReplayResult_worth(&result);
+        Replay_run(&spec, decisions, &result);
+        sum += ReplayResult_computeValue(&result);
     }
     return sum / SEEDS;
 }
@@ -73,8 +73,8 @@
     ReplaySpec_t spec = load(WORST);
     ReplayResult_t first;
     ReplayResult_t second;
-    Replay_play(&spec, REPLAY_ALL, &first);
-    Replay_play(&spec, REPLAY_ALL, &second);
+    Replay_run(&spec, REPLAY_ALL, &first);
+    Replay_run(&spec, REPLAY_ALL, &second);
     ck_assert_uint_eq(first.read_tokens, second.read_tokens);
     ck_assert_uint_eq(first.kinds[0].in_time, second.kinds[0].in_time);
 }
@@ -84,7 +84,7 @@
 {
     ReplaySpec_t spec = load(WORST);
     ReplayResult_t result;
-    Replay_play(&spec, REPLAY_ALL, &result);
+    Replay_run(&spec, REPLAY_ALL, &result);
     for (guint kind = 0; kind < 2; kind++) {
         const ReplayCount_t *count = &result.kinds[kind];
         ck_assert_uint_gt(count->asked, 1000);
@@ -143,7 +143,7 @@
                              "[kind-1]\nrate = 3\nprefixes = 1000000\n"
                              "shared_tokens = 500\ndeadline = 2s\n"
                              "[kind-2]\nrate = 0\n");
-    Replay_play(&spec, REPLAY_ALL, &result);
+    Replay_run(&spec, REPLAY_ALL, &result);
     ck_assert_uint_gt(result.kinds[0].asked, 0);
     ck_assert_uint_eq(result.kinds[1].asked, 0);
 }
