--- a/standins/EngineCache.c
+++ b/standins/EngineCache.c
@@ -12,9 +12,10 @@
 
 struct EngineCache {
     GHashTable *blocks; /* &hash -> Block_t */
-    GQueue order;       /* used longest ago first */
-    GHashTable *ever;   /* hash -> itself: computed here at any time */
-    guint most;
+    GQueue lru;         /* least recently used first */
+    GHashTable
+        *computed_hashes; /* set of the hashes of all blocks ever inserted */
+    guint max_blocks;
     guint64 violations;
     guint64 recomputed;
 };
@@ -25,10 +26,10 @@
     EngineCache_t *this = g_new0(EngineCache_t, 1);
     this->blocks =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    this->ever =
+    this->computed_hashes =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-    g_queue_init(&this->order);
-    this->most = blocks;
+    g_queue_init(&this->lru);
+    this->max_blocks = blocks;
     return this;
 }
 
@@ -36,7 +37,7 @@
 EngineCache_destroy(EngineCache_t *this)
 {
     g_hash_table_destroy(this->blocks);
-    g_hash_table_destroy(this->ever);
+    g_hash_table_destroy(this->computed_hashes);
     g_free(this);
 }
 
@@ -44,30 +45,31 @@
 EngineCache_flush(EngineCache_t *this)
 {
     g_hash_table_remove_all(this->blocks);
-    g_queue_init(&this->order);
+    g_queue_init(&this->lru);
 }
 
 static guint64
-next_hash(const GString *text, gsize at, guint64 hash)
+hash_block(const GString *text, gsize offset, guint64 hash)
 {
-    return XXH3_64bits_withSeed(text->str + at, BLOCK_BYTES, hash);
+    return XXH3_64bits_withSeed(text->str + offset, BLOCK_BYTES, hash);
 }
 
 static void
-use(EngineCache_t *this, Block_t *block)
+mark_used(EngineCache_t *this, Block_t *block)
 {
-    g_queue_unlink(&this->order, &block->link);
-    g_queue_push_tail_link(&this->order, &block->link);
+    g_queue_unlink(&this->lru, &block->link);
+    g_queue_push_tail_link(&this->lru, &block->link);
 }
 
 guint
-EngineCache_find(EngineCache_t *this, const GString *text,
-                 const CacheOrigin_t *origin)
+EngineCache_matchPrefix(EngineCache_t *this, const GString *text,
+                        const CacheOrigin_t *origin)
 {
     guint64 hash = origin->salt;
     guint tokens = 0;
-    for (gsize at = 0; at + BLOCK_BYTES <= text->len; at += BLOCK_BYTES) {
-        hash = next_hash(text, at, hash);
+    for (gsize offset = 0; offset + BLOCK_BYTES <= text->len;
+         offset += BLOCK_BYTES) {
+        hash = hash_block(text, offset, hash);
         Block_t *block = g_hash_table_lookup(this->blocks, &hash);
         if (!block) {
             break;
@@ -76,45 +78,45 @@
             block->origin.weights != origin->weights) {
             this->violations++;
         }
-        use(this, block);
+        mark_used(this, block);
         tokens += CACHE_BLOCK_TOKENS;
     }
     return tokens;
 }
 
 static void
-evict_one(EngineCache_t *this)
+evict_oldest(EngineCache_t *this)
 {
-    Block_t *block = g_queue_peek_head(&this->order);
-    g_queue_unlink(&this->order, &block->link);
+    Block_t *block = g_queue_peek_head(&this->lru);
+    g_queue_unlink(&this->lru, &block->link);
     g_hash_table_remove(this->blocks, &block->hash);
 }
 
 static void
 note_computed(EngineCache_t *this, guint64 hash)
 {
-    if (g_hash_table_contains(this->ever, &hash)) {
+    if (g_hash_table_contains(this->computed_hashes, &hash)) {
         this->recomputed += CACHE_BLOCK_TOKENS;
         return;
     }
-    g_hash_table_add(this->ever, g_memdup2(&hash, sizeof(hash)));
+    g_hash_table_add(this->computed_hashes, g_memdup2(&hash, sizeof(hash)));
 }
 
 static void
 add_block(EngineCache_t *this, guint64 hash, const CacheOrigin_t *origin)
 {
-    if (this->most == 0) {
+    if (this->max_blocks == 0) {
         return;
     }
-    if (g_hash_table_size(this->blocks) >= this->most) {
-        evict_one(this);
+    if (g_hash_table_size(this->blocks) >= this->max_blocks) {
+        evict_oldest(this);
     }
     Block_t *block = g_new0(Block_t, 1);
     block->hash = hash;
     block->origin = *origin;
     block->link.data = block;
     g_hash_table_insert(this->blocks, &block->hash, block);
-    g_queue_push_tail_link(&this->order, &block->link);
+    g_queue_push_tail_link(&this->lru, &block->link);
     note_computed(this, hash);
 }
 
@@ -123,11 +125,12 @@
                    const CacheOrigin_t *origin)
 {
     guint64 hash = origin->salt;
-    for (gsize at = 0; at + BLOCK_BYTES <= text->len; at += BLOCK_BYTES) {
-        hash = next_hash(text, at, hash);
+    for (gsize offset = 0; offset + BLOCK_BYTES <= text->len;
+         offset += BLOCK_BYTES) {
+        hash = hash_block(text, offset, hash);
         Block_t *block = g_hash_table_lookup(this->blocks, &hash);
         if (block) {
-            use(this, block);
+            mark_used(this, block);
         }
         else {
             add_block(this, hash, origin);
--- a/standins/EngineCache.h
+++ b/standins/EngineCache.h
@@ -3,22 +3,24 @@
 /**
  * DOC: EngineCache
  *
- * An engine's prefix cache: blocks of tokens, found by a chained hash, the
- * ones used longest ago evicted first. Each block carries where it came
- * from, so that a block served to the wrong request is noticed.
+ * A stand-in engine's prefix cache: blocks of tokens that are looked up by a
+ * chained hash and evicted in LRU order. Each block records the request that
+ * it was computed for, so that a hit from another user or from other weights
+ * is counted as a violation.
  */
 #include <glib.h>
 
-/** Tokens of a block */
+/** Tokens per block */
 #define CACHE_BLOCK_TOKENS 16
-/** Bytes of text that count as a token */
+/** Bytes of text per token */
 #define CACHE_TOKEN_BYTES 4
 
 /**
- * struct CacheOrigin_t - where a block came from, or who asks for it
+ * struct CacheOrigin_t - request that a block was computed for, or
+ * that looks blocks up
  * @salt: cache salt of the request
  * @user: hash of the request's user field
- * @weights: hash of the version of weights in use
+ * @weights: hash of the engine's weights version
  */
 typedef struct {
     guint64 salt;
@@ -29,35 +31,42 @@
 /** struct EngineCache_t - opaque */
 typedef struct EngineCache EngineCache_t;
 
-/** EngineCache_create() - an empty cache of so many blocks */
+/**
+ * EngineCache_create() - create an empty cache
+ * @blocks: capacity; with 0 nothing is cached
+ */
 EngineCache_t *EngineCache_create(guint blocks);
 
-/** EngineCache_destroy() - free it */
+/** EngineCache_destroy() - free the cache and its blocks */
 void EngineCache_destroy(EngineCache_t *this);
 
-/** EngineCache_flush() - forget all blocks */
+/** EngineCache_flush() - remove all blocks; the history that
+ * EngineCache_recomputed() counts by is kept */
 void EngineCache_flush(EngineCache_t *this);
 
 /**
- * EngineCache_find() - how many tokens of a text are cached
+ * EngineCache_matchPrefix() - count the cached tokens of the longest cached
+ * prefix, and mark its blocks as used
  * @text: the prompt
+ * @origin: the request; its salt seeds the hash
  */
-guint EngineCache_find(EngineCache_t *this, const GString *text,
-                       const CacheOrigin_t *origin);
+guint EngineCache_matchPrefix(EngineCache_t *this, const GString *text,
+                              const CacheOrigin_t *origin);
 
-/** EngineCache_insert() - all whole blocks of a text are computed now */
+/** EngineCache_insert() - cache all complete blocks of a text; an
+ * incomplete last block is left out */
 void EngineCache_insert(EngineCache_t *this, const GString *text,
                         const CacheOrigin_t *origin);
 
-/** EngineCache_violations() - blocks served that came from another user or
- * from other weights */
+/** EngineCache_violations() - number of hits on blocks of another user or of
+ * other weights */
 guint64 EngineCache_violations(const EngineCache_t *this);
 
-/** EngineCache_recomputed() - tokens inserted that had been computed here
- * before */
+/** EngineCache_recomputed() - number of inserted tokens that the engine had
+ * already computed before, and evicted or flushed since */
 guint64 EngineCache_recomputed(const EngineCache_t *this);
 
-/** EngineCache_size() - blocks held */
+/** EngineCache_size() - number of cached blocks */
 guint EngineCache_size(const EngineCache_t *this);
 
 #endif
--- a/standins/EngineStandin.c
+++ b/standins/EngineStandin.c
@@ -1,12 +1,12 @@
 /**
  * DOC: EngineStandin
  *
- * A model engine: it computes prompts one after the other at a fixed rate,
- * with what its cache holds left out, then gives each running stream a token
- * at each step. Its answers follow from the prompt alone, so that a whole
- * stream can be told from a broken one. It keeps a stream for a while after
- * its reader is gone, resumes it from any token, cancels it, refuses what it
- * can't do, and fails on demand.
+ * A model engine. It prefills one prompt at a time at a fixed rate, skipping
+ * the cached prefix, then decodes one token of each running stream per step.
+ * An answer depends on the prompt alone, so that tests can tell a complete
+ * stream from a broken one. The engine retains a stream for hold_ms after its
+ * reader disconnects, resumes it at any token, cancels it, refuses requests
+ * that it can't serve, and injects faults on request.
  */
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -28,15 +28,15 @@
 
 #define ATTEMPT_HEADER "X-Attempt-Id"
 #define ID_MAX 64
-/* A prompt that holds it ends the process that begins to run it. */
-#define DEADLY_TEXT "[ends the engine]"
+/* A prompt with this text terminates the engine that prefills it. */
+#define POISON_TEXT "[ends the engine]"
 
 typedef enum { WAITING, RUNNING, DONE } StreamState_t;
 
 typedef struct {
     char id[ID_MAX + 1];
-    char attempt[ID_MAX + 1];      /* the last that came to read */
-    struct evhttp_request *reader; /* NULL while nobody reads */
+    char attempt[ID_MAX + 1];      /* of the current or last reader */
+    struct evhttp_request *reader; /* NULL without a reader */
     gboolean chat;
     gboolean silent;
     StreamState_t state;
@@ -47,19 +47,19 @@
     guint64 seed;
     guint prompt_tokens;
     guint cached_tokens;
-    guint64 first;    /* place of the first token in the whole answer */
-    guint64 end;      /* place behind the last */
-    guint64 produced; /* place behind the last that was made */
-    guint64 sent;     /* place behind the last that was written */
+    guint64 first_position; /* position of the first token in the answer */
+    guint64 end_position;   /* position after the last token */
+    guint64 decoded;        /* position after the last decoded token */
+    guint64 sent;           /* position after the last sent token */
     gint64 unread_since_ms;
 } Stream_t;
 
 static Server_t server;
 static EngineCache_t *cache;
 static GHashTable *streams; /* id -> Stream_t */
-static GPtrArray *waiting;  /* Stream_t, in the order of arrival */
+static GPtrArray *waiting;  /* Stream_t, in order of arrival */
 static GPtrArray *running;  /* Stream_t */
-static Stream_t *computing;
+static Stream_t *prefilling;
 static guint64 next_order;
 static struct event *step_timer;
 
@@ -72,37 +72,39 @@
 static gint64 decode_ms = 20, slots = 256, queue_max = 1024, hold_ms = 10000;
 static gint64 cut_after = -1, cuts, die_after = -1, mismatch, refuse, silent;
 static gint64 no_end, cross, leaving, cancelled, forget_streams;
-static gint64 asked;
-static gint64 runs, prompt_total, cached_total, made_total, resumed;
+static gint64 received_requests;
+static gint64 prefill_count, prompt_total, cached_total, decoded_total,
+    resumed;
 
-static const Knob_t knobs[] = {
+static const Parameter_t parameters[] = {
     {"port", &port},
     {"incarnation", &incarnation},
-    {"blocks", &blocks},             /* size of the cache */
-    {"prefill_rate", &prefill_rate}, /* prompt tokens a second */
+    {"blocks", &blocks},             /* capacity of the cache */
+    {"prefill_rate", &prefill_rate}, /* prompt tokens per second */
     {"decode_ms", &decode_ms},       /* time between tokens */
-    {"slots", &slots},               /* streams that run at once */
+    {"slots", &slots},               /* maximum of running streams */
     {"queue_max", &queue_max},
-    {"hold_ms", &hold_ms},     /* how long an unread stream is kept */
-    {"cut_after", &cut_after}, /* cut the reader off at this token ... */
-    {"cuts", &cuts},           /* ... next so many times */
-    {"die_after", &die_after}, /* end the process at this token */
-    {"mismatch", &mismatch},   /* next so many: another's attempt id */
-    {"refuse", &refuse},       /* next so many: "not run" */
-    {"silent", &silent},       /* next so many: no token after the first */
-    {"no_end", &no_end},       /* next so many: no end mark */
-    {"cross", &cross},         /* next so many: events of another stream */
-    {"leaving", &leaving},
+    {"hold_ms", &hold_ms},     /* retention of a stream without reader */
+    {"cut_after", &cut_after}, /* disconnect the reader at this token */
+    {"cuts", &cuts},           /* disconnect this many readers at cut_after */
+    {"die_after", &die_after}, /* exit at this token */
+    {"mismatch", &mismatch},   /* send this many wrong attempt ids */
+    {"refuse", &refuse},       /* refuse this many requests as not run */
+    {"silent", &silent},       /* stall this many after the first token */
+    {"no_end", &no_end},       /* omit this many [DONE] events */
+    {"cross", &cross},         /* send this many events with a wrong id */
+    {"leaving", &leaving},     /* refuse new streams as leaving */
     {"ignore_fencing",
-     &EngineOrders_knobs.ignore_fencing}, /* obey old fencing numbers too */
-    {"load_ms", &EngineOrders_knobs.load_ms}, /* time to load weights */
-    {"lose_orders", &EngineOrders_knobs.lose_answers}, /* next so many: carry
-                                                          out, no answer */
-    {"forget_streams", &forget_streams}, /* keep none without a reader */
+     &EngineOrders_parameters
+          .ignore_fencing}, /* accept stale fencing numbers */
+    {"load_ms", &EngineOrders_parameters.load_ms}, /* time to load weights */
+    {"lose_orders",
+     &EngineOrders_parameters.lose_answers}, /* drop this many answers */
+    {"forget_streams", &forget_streams},     /* nonzero: as hold_ms 0 */
     {"limit_milli", &Server_notices.limit_milli},
-    {"says_leaving", &Server_notices.leaving}, /* and takes work */
+    {"says_leaving", &Server_notices.leaving}, /* still accepts requests */
     {"rest_ms", &Server_notices.rest_ms},
-    {"asked", &asked}, /* requests and resumes that came */
+    {"asked", &received_requests}, /* received requests and resumes */
 };
 
 static const TextOption_t texts[] = {
@@ -147,7 +149,7 @@
 static gint64
 waiting_tokens(void)
 {
-    gint64 tokens = computing ? computing->prompt_tokens : 0;
+    gint64 tokens = prefilling ? prefilling->prompt_tokens : 0;
     for (guint i = 0; i < waiting->len; i++) {
         tokens += ((Stream_t *)g_ptr_array_index(waiting, i))->prompt_tokens;
     }
@@ -155,11 +157,11 @@
 }
 
 static void
-send_head(Stream_t *stream)
+send_headers(Stream_t *stream)
 {
     struct evkeyvalq *out = evhttp_request_get_output_headers(stream->reader);
     const char *attempt =
-        Server_spend(&mismatch) ? "someone-else" : stream->attempt;
+        Server_countDown(&mismatch) ? "someone-else" : stream->attempt;
     evhttp_add_header(out, "Content-Type", "text/event-stream");
     Server_addNotices(stream->reader, HTTP_OK);
     evhttp_add_header(out, ATTEMPT_HEADER, attempt);
@@ -174,7 +176,7 @@
 }
 
 static void
-stop_reading(Stream_t *stream)
+detach_reader(Stream_t *stream)
 {
     struct evhttp_connection *connection =
         stream->reader ? evhttp_request_get_connection(stream->reader) : NULL;
@@ -189,29 +191,29 @@
 cut_reader(Stream_t *stream)
 {
     struct evhttp_request *reader = stream->reader;
-    stop_reading(stream);
+    detach_reader(stream);
     Server_drop(reader);
 }
 
 static void
-on_reader_gone(struct evhttp_connection *connection, void *data)
+on_reader_closed(struct evhttp_connection *connection, void *data)
 {
     (void)connection;
     Stream_t *stream = data;
     struct evhttp_request *reader = stream->reader;
-    stop_reading(stream);
+    detach_reader(stream);
     if (!evhttp_request_get_connection(reader)) {
         evhttp_send_reply_end(reader);
     }
-    /* Nobody was told of the stream yet, so nobody can come back for it. */
-    if (stream->state == WAITING && stream != computing) {
+    /* The stream's id was not sent yet, so that no reader can resume it. */
+    if (stream->state == WAITING && stream != prefilling) {
         g_ptr_array_remove(waiting, stream);
         g_hash_table_remove(streams, stream->id);
     }
 }
 
 static void
-attach(Stream_t *stream, struct evhttp_request *request)
+attach_reader(Stream_t *stream, struct evhttp_request *request)
 {
     struct evhttp_connection *connection =
         evhttp_request_get_connection(request);
@@ -222,18 +224,18 @@
     stream->reader = request;
     g_strlcpy(stream->attempt, input_header(request, ATTEMPT_HEADER),
               sizeof(stream->attempt));
-    evhttp_connection_set_closecb(connection, on_reader_gone, stream);
+    evhttp_connection_set_closecb(connection, on_reader_closed, stream);
 }
 
-/* The answer is a function of the prompt and the place alone. */
+/* A token depends on the prompt and its position alone. */
 static void
-write_token(Stream_t *stream, guint64 place, struct evbuffer *out)
+write_token(Stream_t *stream, guint64 position, struct evbuffer *out)
 {
-    guint word =
-        (guint)(XXH3_64bits_withSeed(&place, sizeof(place), stream->seed) &
-                0xffff);
-    const char *id = Server_spend(&cross) ? "another-stream" : stream->id;
-    gboolean last = place + 1 == stream->end;
+    guint token = (guint)(XXH3_64bits_withSeed(&position, sizeof(position),
+                                               stream->seed) &
+                          0xffff);
+    const char *id = Server_countDown(&cross) ? "another-stream" : stream->id;
+    gboolean last = position + 1 == stream->end_position;
     evbuffer_add_printf(
         out,
         stream->chat
@@ -243,15 +245,15 @@
             : "id: %" G_GUINT64_FORMAT
               "\ndata: {\"id\":\"%s\",\"choices\":[{\"text\":"
               "\" %04x.%" G_GUINT64_FORMAT "\",\"finish_reason\":%s}]}\n\n",
-        place, id, word, place, last ? "\"length\"" : "null");
+        position, id, token, position, last ? "\"length\"" : "null");
 }
 
 static void
 end_reply(Stream_t *stream)
 {
     struct evhttp_request *reader = stream->reader;
-    stop_reading(stream);
-    if (!Server_spend(&no_end)) {
+    detach_reader(stream);
+    if (!Server_countDown(&no_end)) {
         struct evbuffer *out = evbuffer_new();
         evbuffer_add_printf(out, "data: [DONE]\n\n");
         evhttp_send_reply_chunk(reader, out);
@@ -261,15 +263,15 @@
 }
 
 static void
-end_if_deadly(const Stream_t *stream)
+exit_if_poison(const Stream_t *stream)
 {
-    if (strstr(stream->text->str, DEADLY_TEXT)) {
+    if (strstr(stream->text->str, POISON_TEXT)) {
         _exit(1);
     }
 }
 
 static gboolean
-fails_here(Stream_t *stream)
+inject_fault(Stream_t *stream)
 {
     if (die_after >= 0 && (gint64)stream->sent >= die_after) {
         _exit(1);
@@ -282,20 +284,21 @@
     return FALSE;
 }
 
-/* Writes what the reader does not have yet. */
+/* Writes the decoded tokens that the reader has not been sent. */
 static void
-write_on(Stream_t *stream)
+write_pending(Stream_t *stream)
 {
     struct evbuffer *out = evbuffer_new();
-    while (stream->reader && stream->sent < stream->produced &&
+    while (stream->reader && stream->sent < stream->decoded &&
            !stream->silent) {
         write_token(stream, stream->sent, out);
         stream->sent++;
-        if (stream->sent == stream->first + 1 && Server_spend(&silent)) {
+        if (stream->sent == stream->first_position + 1 &&
+            Server_countDown(&silent)) {
             stream->silent = TRUE;
         }
         evhttp_send_reply_chunk(stream->reader, out);
-        if (fails_here(stream)) {
+        if (inject_fault(stream)) {
             break;
         }
     }
@@ -305,32 +308,32 @@
     }
 }
 
-static void compute_next(void);
+static void start_next_prefill(void);
 
 static void
-on_computed(void *data)
+on_prefilled(void *data)
 {
     Stream_t *stream = data;
-    end_if_deadly(stream);
-    computing = NULL;
+    exit_if_poison(stream);
+    prefilling = NULL;
     EngineCache_insert(cache, stream->text, &stream->origin);
     stream->state = RUNNING;
     g_ptr_array_add(running, stream);
     if (stream->reader) {
-        send_head(stream);
+        send_headers(stream);
     }
-    stream->produced++;
-    made_total++;
-    if (stream->produced == stream->end) {
+    stream->decoded++;
+    decoded_total++;
+    if (stream->decoded == stream->end_position) {
         stream->state = DONE;
         g_ptr_array_remove(running, stream);
     }
-    write_on(stream);
-    compute_next();
+    write_pending(stream);
+    start_next_prefill();
 }
 
 static Stream_t *
-take_first(void)
+pop_waiting(void)
 {
     Stream_t *best = NULL;
     for (guint i = 0; i < waiting->len; i++) {
@@ -348,45 +351,46 @@
 }
 
 static void
-compute_next(void)
+start_next_prefill(void)
 {
-    if (computing || running->len >= slots) {
+    if (prefilling || running->len >= slots) {
         return;
     }
-    Stream_t *stream = take_first();
+    Stream_t *stream = pop_waiting();
     if (!stream) {
         return;
     }
-    computing = stream;
+    prefilling = stream;
     stream->cached_tokens =
-        MIN(EngineCache_find(cache, stream->text, &stream->origin),
+        MIN(EngineCache_matchPrefix(cache, stream->text, &stream->origin),
             stream->prompt_tokens - 1);
     prompt_total += stream->prompt_tokens;
     cached_total += stream->cached_tokens;
-    runs++;
-    gint64 missing = stream->prompt_tokens - stream->cached_tokens;
-    Server_after(&server, missing * 1000 / prefill_rate, on_computed, stream);
+    prefill_count++;
+    gint64 uncached_tokens = stream->prompt_tokens - stream->cached_tokens;
+    Server_callAfter(&server, uncached_tokens * 1000 / prefill_rate,
+                     on_prefilled, stream);
 }
 
 static void
-step_stream(Stream_t *stream)
+decode_token(Stream_t *stream)
 {
-    stream->produced++;
-    made_total++;
-    if (stream->produced == stream->end) {
+    stream->decoded++;
+    decoded_total++;
+    if (stream->decoded == stream->end_position) {
         stream->state = DONE;
     }
-    write_on(stream);
+    write_pending(stream);
 }
 
 static gboolean
-is_forgotten(gpointer id, gpointer value, gpointer now)
+is_expired(gpointer id, gpointer value, gpointer now)
 {
     (void)id;
     const Stream_t *stream = value;
-    gint64 keep = forget_streams ? 0 : hold_ms;
-    return stream != computing && !stream->reader &&
-           stream->unread_since_ms + keep <= *(gint64 *)now &&
+    gint64 retention_ms = forget_streams ? 0 : hold_ms;
+    return stream != prefilling && !stream->reader &&
+           stream->unread_since_ms + retention_ms <= *(gint64 *)now &&
            !g_ptr_array_find(waiting, stream, NULL);
 }
 
@@ -396,16 +400,16 @@
     (void)fd;
     (void)what;
     (void)data;
-    struct timeval again = {decode_ms / 1000, (decode_ms % 1000) * 1000};
-    evtimer_add(step_timer, &again);
+    struct timeval interval = {decode_ms / 1000, (decode_ms % 1000) * 1000};
+    evtimer_add(step_timer, &interval);
     for (guint i = running->len; i > 0; i--) {
         Stream_t *stream = g_ptr_array_index(running, i - 1);
-        step_stream(stream);
+        decode_token(stream);
         if (stream->state == DONE) {
             g_ptr_array_remove_index_fast(running, i - 1);
         }
     }
-    compute_next();
+    start_next_prefill();
 }
 
 static void
@@ -417,11 +421,11 @@
     gint64 now = now_ms();
     for (guint i = running->len; i > 0; i--) {
         Stream_t *stream = g_ptr_array_index(running, i - 1);
-        if (is_forgotten(NULL, stream, &now)) {
+        if (is_expired(NULL, stream, &now)) {
             g_ptr_array_remove_index_fast(running, i - 1);
         }
     }
-    g_hash_table_foreach_remove(streams, is_forgotten, &now);
+    g_hash_table_foreach_remove(streams, is_expired, &now);
 }
 
 static gboolean
@@ -470,16 +474,16 @@
     stream->origin.user = hash_text(text_member(body, "user"));
     stream->origin.weights = hash_text(weights);
     stream->priority = number_member(body, "priority");
-    stream->first = (guint64)number_member(body, "sent_tokens");
-    stream->produced = stream->first;
-    stream->sent = stream->first;
-    stream->end = (guint64)number_member(body, "max_tokens");
+    stream->first_position = (guint64)number_member(body, "sent_tokens");
+    stream->decoded = stream->first_position;
+    stream->sent = stream->first_position;
+    stream->end_position = (guint64)number_member(body, "max_tokens");
     stream->order = next_order++;
     return stream;
 }
 
 static gboolean
-serves(const char *model)
+serves_model(const char *model)
 {
     g_auto(GStrv) list = g_strsplit(models, ",", -1);
     for (guint i = 0; list[i]; i++) {
@@ -490,13 +494,13 @@
     return FALSE;
 }
 
-/* Why a new stream is refused, or NULL. */
+/* Returns the error code for a new stream to refuse, or NULL. */
 static const char *
 reason_to_refuse(const json_t *body)
 {
     gint64 expected = number_member(body, "expect_incarnation");
     const char *version = text_member(body, "expect_weights");
-    if (Server_spend(&refuse) || waiting->len >= queue_max) {
+    if (Server_countDown(&refuse) || waiting->len >= queue_max) {
         return "busy";
     }
     if (leaving) {
@@ -505,7 +509,7 @@
     if (expected != 0 && expected != incarnation) {
         return "wrong_incarnation";
     }
-    if (!serves(text_member(body, "model"))) {
+    if (!serves_model(text_member(body, "model"))) {
         return "unknown_model";
     }
     return g_strcmp0(version, weights) != 0 ? "wrong_weights" : NULL;
@@ -517,31 +521,31 @@
 {
     evhttp_add_header(evhttp_request_get_output_headers(request),
                       ATTEMPT_HEADER, input_header(request, ATTEMPT_HEADER));
-    gboolean stale = strcmp(code, "wrong_incarnation") == 0;
+    gboolean wrong_incarnation = strcmp(code, "wrong_incarnation") == 0;
     Server_refuse(request, status, code, run,
-                  stale ? (guint64)incarnation : 0);
+                  wrong_incarnation ? (guint64)incarnation : 0);
 }
 
 static void
 handle_start(struct evhttp_request *request, gboolean chat)
 {
-    asked++;
+    received_requests++;
     json_t *body = Server_body(request);
     const char *reason = reason_to_refuse(body);
     Stream_t *stream = reason ? NULL : create_stream(body, chat);
     if (reason) {
         refuse_request(request, HTTP_SERVUNAVAIL, reason, "not_run");
     }
-    else if (!stream || stream->end <= stream->first) {
+    else if (!stream || stream->end_position <= stream->first_position) {
         refuse_request(request, HTTP_BADREQUEST, "bad_request", "not_run");
         g_clear_pointer(&stream, destroy_stream);
     }
     else {
-        attach(stream, request);
+        attach_reader(stream, request);
         g_strlcpy(stream->id, stream->attempt, sizeof(stream->id));
         g_hash_table_replace(streams, stream->id, stream);
         g_ptr_array_add(waiting, stream);
-        compute_next();
+        start_next_prefill();
     }
     json_decref(body);
 }
@@ -549,12 +553,13 @@
 static void
 handle_resume(struct evhttp_request *request)
 {
-    asked++;
+    received_requests++;
     json_t *body = Server_body(request);
     const char *id = text_member(body, "stream");
     Stream_t *stream = id ? g_hash_table_lookup(streams, id) : NULL;
     guint64 offset = (guint64)number_member(body, "offset");
-    if (!stream || offset < stream->first || offset > stream->produced) {
+    if (!stream || offset < stream->first_position ||
+        offset > stream->decoded) {
         refuse_request(request, 410, "stream_gone", "ran");
     }
     else {
@@ -562,12 +567,12 @@
             cut_reader(stream);
         }
         resumed++;
-        attach(stream, request);
+        attach_reader(stream, request);
         stream->sent = offset;
         stream->silent = FALSE;
         if (stream->state != WAITING) {
-            send_head(stream);
-            write_on(stream);
+            send_headers(stream);
+            write_pending(stream);
         }
     }
     json_decref(body);
@@ -579,10 +584,10 @@
     json_t *body = Server_body(request);
     const char *id = text_member(body, "stream");
     Stream_t *stream = id ? g_hash_table_lookup(streams, id) : NULL;
-    gboolean may =
-        stream && stream != computing &&
+    gboolean cancellable =
+        stream && stream != prefilling &&
         g_strcmp0(text_member(body, "attempt"), stream->attempt) == 0;
-    if (may) {
+    if (cancellable) {
         if (stream->reader) {
             cut_reader(stream);
         }
@@ -592,7 +597,8 @@
         g_hash_table_remove(streams, stream->id);
     }
     json_decref(body);
-    Server_reply(request, HTTP_OK, json_pack("{s:b}", "cancelled", may));
+    Server_reply(request, HTTP_OK,
+                 json_pack("{s:b}", "cancelled", cancellable));
 }
 
 static void
@@ -603,13 +609,13 @@
         json_pack(
             "{s:s, s:I, s:I, s:s, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, "
             "s:i, s:i, s:I}",
-            "name", name, "asked", (json_int_t)asked, "incarnation",
-            (json_int_t)incarnation, "weights", weights, "runs",
-            (json_int_t)runs, "prompt_tokens", (json_int_t)prompt_total,
-            "cached_tokens", (json_int_t)cached_total, "made_tokens",
-            (json_int_t)made_total, "recomputed_tokens",
-            (json_int_t)EngineCache_recomputed(cache), "violations",
-            (json_int_t)EngineCache_violations(cache), "resumed",
+            "name", name, "asked", (json_int_t)received_requests,
+            "incarnation", (json_int_t)incarnation, "weights", weights, "runs",
+            (json_int_t)prefill_count, "prompt_tokens",
+            (json_int_t)prompt_total, "cached_tokens",
+            (json_int_t)cached_total, "made_tokens", (json_int_t)decoded_total,
+            "recomputed_tokens", (json_int_t)EngineCache_recomputed(cache),
+            "violations", (json_int_t)EngineCache_violations(cache), "resumed",
             (json_int_t)resumed, "cancelled", (json_int_t)cancelled, "running",
             (int)running->len, "waiting", (int)waiting->len, "blocks_held",
             (json_int_t)EngineCache_size(cache)));
@@ -618,7 +624,8 @@
 static void
 handle_control(struct evhttp_request *request)
 {
-    json_t *body = Server_control(request, knobs, G_N_ELEMENTS(knobs));
+    json_t *body =
+        Server_control(request, parameters, G_N_ELEMENTS(parameters));
     const char *version = text_member(body, "weights");
     if (version) {
         g_strlcpy(weights, version, sizeof(weights));
@@ -667,7 +674,7 @@
 EngineStandin_run(int argc, char **argv)
 {
     incarnation = g_get_real_time() / 1000;
-    Options_parse(argc, argv, knobs, G_N_ELEMENTS(knobs), texts,
+    Options_parse(argc, argv, parameters, G_N_ELEMENTS(parameters), texts,
                   G_N_ELEMENTS(texts));
     g_strlcpy(weights, first_weights, sizeof(weights));
     cache = EngineCache_create((guint)blocks);
@@ -676,13 +683,13 @@
     waiting = g_ptr_array_new();
     running = g_ptr_array_new();
     Server_listen(&server, (guint16)port, handle, NULL);
-    struct timeval soon = {0, decode_ms * 1000};
+    struct timeval first_step = {0, decode_ms * 1000};
     step_timer = event_new(server.base, -1, 0, on_step, NULL);
-    evtimer_add(step_timer, &soon);
-    struct timeval second = {0, 500000};
+    evtimer_add(step_timer, &first_step);
+    struct timeval sweep_interval = {0, 500000};
     struct event *sweep =
         event_new(server.base, -1, EV_PERSIST, on_sweep, NULL);
-    event_add(sweep, &second);
+    event_add(sweep, &sweep_interval);
     Server_run(&server);
     return 0;
 }
--- a/standins/InstancesStandin.c
+++ b/standins/InstancesStandin.c
@@ -1,7 +1,8 @@
 /**
  * DOC: InstancesStandin
  *
- * The platform's list of instances. It shows a change only after lag_ms.
+ * The platform's list of instances. A posted entry appears in the
+ * list after lag_ms.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,11 +15,11 @@
 static json_t *instances; /* name -> entry */
 static gint64 lag_ms, down, port;
 
-static const Knob_t knobs[] = {
+static const Parameter_t parameters[] = {
     {"port", &port}, {"lag_ms", &lag_ms}, {"down", &down}};
 
 static void
-show_later(void *data)
+publish_entry(void *data)
 {
     json_t *entry = data;
     const char *name = json_string_value(json_object_get(entry, "name"));
@@ -43,15 +44,16 @@
 {
     (void)data;
     if (strcmp(Server_path(request), "/control") == 0) {
-        json_decref(Server_control(request, knobs, G_N_ELEMENTS(knobs)));
+        json_decref(
+            Server_control(request, parameters, G_N_ELEMENTS(parameters)));
     }
     else if (down) {
         Server_refuse(request, HTTP_SERVUNAVAIL, "outage", "not_run", 0);
     }
     else if (evhttp_request_get_command(request) == EVHTTP_REQ_POST) {
         json_t *entry = Server_body(request);
-        Server_after(&server, lag_ms, show_later,
-                     entry ? entry : json_object());
+        Server_callAfter(&server, lag_ms, publish_entry,
+                         entry ? entry : json_object());
         Server_reply(request, HTTP_OK, json_object());
     }
     else {
@@ -62,7 +64,7 @@
 int
 InstancesStandin_run(int argc, char **argv)
 {
-    Options_parse(argc, argv, knobs, G_N_ELEMENTS(knobs), NULL, 0);
+    Options_parse(argc, argv, parameters, G_N_ELEMENTS(parameters), NULL, 0);
     instances = json_object();
     Server_listen(&server, (guint16)port, handle, NULL);
     Server_run(&server);
--- a/standins/LogStandin.c
+++ b/standins/LogStandin.c
@@ -1,9 +1,10 @@
 /**
  * DOC: LogStandin
  *
- * The append-only log: streams with offsets, a rate limit on appends,
- * retention by count, outages, slow answers, answers that are lost after or
- * before the append took effect, and returns from an older copy.
+ * The platform's append-only log: streams with offsets, a rate limit on
+ * appends and retention by record count. It injects faults: outages, slow
+ * answers, answers lost before or after the append takes effect, and a restore
+ * from an older copy.
  */
 #include <event2/buffer.h>
 #include <event2/http.h>
@@ -22,15 +23,15 @@
 typedef struct {
     GPtrArray *records; /* GBytes */
     guint64 start;
-    guint64 copied; /* offset up to which the copy goes */
-    GQueue waiting; /* Read_t */
+    guint64 copied_head;  /* head offset at the time of the copy */
+    GQueue waiting_reads; /* Read_t */
 } Stream_t;
 
 typedef struct {
     Stream_t *stream;
     struct evhttp_request *request; /* NULL once answered */
     guint64 from;
-    guint references; /* of the stream's queue and of the timer */
+    guint references; /* held by the stream's queue and by the timer */
 } Read_t;
 
 typedef struct {
@@ -46,18 +47,20 @@
 static gint64 rate_window_ms, rate_used;
 static gint64 copy, come_back, epoch;
 
-static const Knob_t knobs[] = {
+static const Parameter_t parameters[] = {
     {"port", &port},
-    {"down", &down},                 /* refuse all: an outage */
-    {"hang", &hang},                 /* answer nothing at all */
-    {"slow_ms", &slow_ms},           /* delay of each answer */
-    {"lose_answers", &lose_answers}, /* next so many: append, no answer */
-    {"land_late", &land_late}, /* next so many: no answer, append later */
+    {"down", &down},       /* outage: refuse all requests */
+    {"hang", &hang},       /* never answer */
+    {"slow_ms", &slow_ms}, /* delay before each request is handled */
+    {"lose_answers",
+     &lose_answers},           /* drop this many answers after the append */
+    {"land_late", &land_late}, /* drop this many answers, and append after
+                                  late_ms */
     {"late_ms", &late_ms},
-    {"copy", &copy},           /* take one now */
-    {"come_back", &come_back}, /* from the copy, in the next epoch */
-    {"retention", &retention}, /* records kept of each stream, 0 for all */
-    {"rate", &rate},           /* appends a second, 0 for no limit */
+    {"copy", &copy},           /* copy the log now */
+    {"come_back", &come_back}, /* restore the copy and increment the epoch */
+    {"retention", &retention}, /* records retained per stream, 0 for all */
+    {"rate", &rate},           /* appends per second, 0 for no limit */
     {"appends", &appends},
     {"append_bytes", &append_bytes},
     {"reads", &reads},
@@ -71,13 +74,13 @@
 }
 
 static Stream_t *
-stream_of(const char *name)
+get_or_create_stream(const char *name)
 {
     Stream_t *stream = g_hash_table_lookup(streams, name);
     if (!stream) {
         stream = g_new0(Stream_t, 1);
         stream->records = g_ptr_array_new_with_free_func(free_bytes);
-        g_queue_init(&stream->waiting);
+        g_queue_init(&stream->waiting_reads);
         g_hash_table_insert(streams, g_strdup(name), stream);
     }
     return stream;
@@ -118,7 +121,7 @@
 }
 
 static void
-unref_read(Read_t *read)
+release_read(Read_t *read)
 {
     if (--read->references == 0) {
         g_free(read);
@@ -126,7 +129,7 @@
 }
 
 static void
-end_read(Read_t *read)
+complete_read(Read_t *read)
 {
     if (read->request) {
         struct evhttp_request *request = read->request;
@@ -140,11 +143,11 @@
 {
     Read_t *read = data;
     if (read->request) {
-        g_queue_remove(&read->stream->waiting, read);
-        end_read(read);
-        unref_read(read);
+        g_queue_remove(&read->stream->waiting_reads, read);
+        complete_read(read);
+        release_read(read);
     }
-    unref_read(read);
+    release_read(read);
 }
 
 static void
@@ -158,14 +161,14 @@
         stream->start++;
     }
     Read_t *read = NULL;
-    while ((read = g_queue_pop_head(&stream->waiting))) {
-        end_read(read);
-        unref_read(read);
+    while ((read = g_queue_pop_head(&stream->waiting_reads))) {
+        complete_read(read);
+        release_read(read);
     }
 }
 
 static void
-on_late(void *data)
+on_late_append(void *data)
 {
     LateAppend_t *late = data;
     append(late->stream, late->record);
@@ -173,7 +176,7 @@
 }
 
 static gboolean
-is_over_rate(void)
+exceeds_rate(void)
 {
     gint64 now_ms = g_get_monotonic_time() / MS_PER_SECOND;
     if (now_ms - rate_window_ms >= MS_PER_SECOND) {
@@ -186,23 +189,23 @@
 static void
 handle_append(struct evhttp_request *request, Stream_t *stream)
 {
-    if (is_over_rate()) {
+    if (exceeds_rate()) {
         Server_refuse(request, 429, "over_rate", "not_run", 0);
         return;
     }
     struct evbuffer *input = evhttp_request_get_input_buffer(request);
     gsize length = evbuffer_get_length(input);
     GBytes *record = g_bytes_new(evbuffer_pullup(input, -1), length);
-    if (Server_spend(&land_late)) {
+    if (Server_countDown(&land_late)) {
         LateAppend_t *late = g_new0(LateAppend_t, 1);
         late->stream = stream;
         late->record = record;
-        Server_after(&server, late_ms, on_late, late);
+        Server_callAfter(&server, late_ms, on_late_append, late);
         Server_drop(request);
         return;
     }
     append(stream, record);
-    if (Server_spend(&lose_answers)) {
+    if (Server_countDown(&lose_answers)) {
         Server_drop(request);
         return;
     }
@@ -245,12 +248,12 @@
     read->request = request;
     read->from = from;
     read->references = 2;
-    g_queue_push_tail(&stream->waiting, read);
-    Server_after(&server, wait_ms, on_wait_over, read);
+    g_queue_push_tail(&stream->waiting_reads, read);
+    Server_callAfter(&server, wait_ms, on_wait_over, read);
 }
 
 static void
-tell_epoch(struct evhttp_request *request)
+add_epoch_header(struct evhttp_request *request)
 {
     g_autofree char *text = g_strdup_printf("%" G_GINT64_FORMAT, epoch);
     evhttp_add_header(evhttp_request_get_output_headers(request), EPOCH_HEADER,
@@ -266,7 +269,7 @@
         Server_refuse(request, HTTP_NOTFOUND, "unknown_path", "not_run", 0);
         return;
     }
-    tell_epoch(request);
+    add_epoch_header(request);
     if (down) {
         Server_refuse(request, HTTP_SERVUNAVAIL, "outage", "not_run", 0);
         return;
@@ -274,7 +277,7 @@
     if (hang) {
         return;
     }
-    Stream_t *stream = stream_of(parts[2]);
+    Stream_t *stream = get_or_create_stream(parts[2]);
     if (evhttp_request_get_command(request) == EVHTTP_REQ_POST) {
         handle_append(request, stream);
     }
@@ -284,38 +287,39 @@
 }
 
 static void
-drop_waiting(Stream_t *stream)
+drop_waiting_reads(Stream_t *stream)
 {
     Read_t *read = NULL;
-    while ((read = g_queue_pop_head(&stream->waiting))) {
+    while ((read = g_queue_pop_head(&stream->waiting_reads))) {
         Server_drop(read->request);
         read->request = NULL;
-        unref_read(read);
+        release_read(read);
     }
 }
 
 static void
-return_stream(Stream_t *stream)
+restore_stream(Stream_t *stream)
 {
-    guint64 kept = MAX(stream->copied, stream->start) - stream->start;
+    guint64 retained = MAX(stream->copied_head, stream->start) - stream->start;
     g_ptr_array_set_size(stream->records,
-                         (gint)MIN(kept, stream->records->len));
-    drop_waiting(stream);
+                         (gint)MIN(retained, stream->records->len));
+    drop_waiting_reads(stream);
 }
 
-/* The knobs are acts, each done once. */
+/* copy and come_back each trigger one action and are reset. A restore comes
+ * first, so that a copy requested together with it holds the restored log. */
 static void
-tend_copy(void)
+apply_copy_actions(void)
 {
     GHashTableIter iter;
     gpointer stream = NULL;
     g_hash_table_iter_init(&iter, streams);
     while (g_hash_table_iter_next(&iter, NULL, &stream)) {
         if (come_back) {
-            return_stream(stream);
+            restore_stream(stream);
         }
         if (copy) {
-            ((Stream_t *)stream)->copied = head_of(stream);
+            ((Stream_t *)stream)->copied_head = head_of(stream);
         }
     }
     epoch += come_back ? 1 : 0;
@@ -324,7 +328,7 @@
 }
 
 static void
-handle_slowly(void *data)
+on_delay_over(void *data)
 {
     handle_stream(data);
 }
@@ -334,11 +338,12 @@
 {
     (void)data;
     if (strcmp(Server_path(request), "/control") == 0) {
-        json_decref(Server_control(request, knobs, G_N_ELEMENTS(knobs)));
-        tend_copy();
+        json_decref(
+            Server_control(request, parameters, G_N_ELEMENTS(parameters)));
+        apply_copy_actions();
     }
     else if (slow_ms > 0) {
-        Server_after(&server, slow_ms, handle_slowly, request);
+        Server_callAfter(&server, slow_ms, on_delay_over, request);
     }
     else {
         handle_stream(request);
@@ -348,7 +353,7 @@
 int
 LogStandin_run(int argc, char **argv)
 {
-    Options_parse(argc, argv, knobs, G_N_ELEMENTS(knobs), NULL, 0);
+    Options_parse(argc, argv, parameters, G_N_ELEMENTS(parameters), NULL, 0);
     streams = g_hash_table_new(g_str_hash, g_str_equal);
     Server_listen(&server, (guint16)port, handle, NULL);
     Server_run(&server);
--- a/standins/Options.c
+++ b/standins/Options.c
@@ -5,12 +5,12 @@
 #include <string.h>
 
 static gboolean
-take(const char *name, const char *value, const Knob_t *knobs,
-     gsize knob_count, const TextOption_t *texts, gsize text_count)
+set_option(const char *name, const char *value, const Parameter_t *parameters,
+           gsize parameter_count, const TextOption_t *texts, gsize text_count)
 {
-    for (gsize i = 0; i < knob_count; i++) {
-        if (strcmp(knobs[i].name, name) == 0) {
-            *knobs[i].value = g_ascii_strtoll(value, NULL, 10);
+    for (gsize i = 0; i < parameter_count; i++) {
+        if (strcmp(parameters[i].name, name) == 0) {
+            *parameters[i].value = g_ascii_strtoll(value, NULL, 10);
             return TRUE;
         }
     }
@@ -24,14 +24,15 @@
 }
 
 void
-Options_parse(int argc, char **argv, const Knob_t *knobs, gsize knob_count,
-              const TextOption_t *texts, gsize text_count)
+Options_parse(int argc, char **argv, const Parameter_t *parameters,
+              gsize parameter_count, const TextOption_t *texts,
+              gsize text_count)
 {
     for (int i = 1; i < argc; i += 2) {
-        gboolean good = g_str_has_prefix(argv[i], "--") && i + 1 < argc &&
-                        take(argv[i] + 2, argv[i + 1], knobs, knob_count,
-                             texts, text_count);
-        if (!good) {
+        gboolean is_valid = g_str_has_prefix(argv[i], "--") && i + 1 < argc &&
+                            set_option(argv[i] + 2, argv[i + 1], parameters,
+                                       parameter_count, texts, text_count);
+        if (!is_valid) {
             fprintf(stderr, "bad option %s\n", argv[i]);
             exit(2);
         }
--- a/standins/Options.h
+++ b/standins/Options.h
@@ -3,24 +3,27 @@
 /**
  * DOC: Options
  *
- * "--name value" pairs of a stand-in's command line, into its knobs and
- * texts.
+ * Parses the "--name value" pairs of a stand-in's command line into its
+ * parameters and text options.
  */
 #include <glib.h>
 
 #include "Server.h"
 
 /**
- * struct TextOption_t - an option whose value is a text
+ * struct TextOption_t - an option with a string value
+ * @name: name on the command line, without the dashes
+ * @value: where the value is stored; points into argv
  */
 typedef struct {
     const char *name;
     const char **value;
 } TextOption_t;
 
-/** Options_parse() - fill knobs and texts; ends the process on a bad one */
-void Options_parse(int argc, char **argv, const Knob_t *knobs,
-                   gsize knob_count, const TextOption_t *texts,
+/** Options_parse() - set parameters and text options; exits with 2 on an
+ * unknown option or a missing value */
+void Options_parse(int argc, char **argv, const Parameter_t *parameters,
+                   gsize parameter_count, const TextOption_t *texts,
                    gsize text_count);
 
 #endif
--- a/standins/Server.c
+++ b/standins/Server.c
@@ -10,26 +10,26 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define MAX_BODY (64 << 20)
+#define MAX_BODY_BYTES (64 << 20)
 #define IDLE_TIMEOUT_S 600
 
 typedef struct {
     void (*call)(void *data);
     void *data;
-} Later_t;
+} DelayedCall_t;
 
 void
 Server_listen(Server_t *this, guint16 port,
               void (*handle)(struct evhttp_request *, void *), void *data)
 {
-    /* Without it, waits are rounded up to the kernel's tick. */
+    /* Without PRECISE_TIMER, timeouts are rounded up to the kernel's tick. */
     struct event_config *config = event_config_new();
     event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
     this->base = event_base_new_with_config(config);
     event_config_free(config);
     this->http = evhttp_new(this->base);
     evhttp_set_gencb(this->http, handle, data);
-    evhttp_set_max_body_size(this->http, MAX_BODY);
+    evhttp_set_max_body_size(this->http, MAX_BODY_BYTES);
     evhttp_set_timeout(this->http, IDLE_TIMEOUT_S);
     struct evhttp_bound_socket *bound =
         evhttp_bind_socket_with_handle(this->http, "127.0.0.1", port);
@@ -47,7 +47,7 @@
 ServerNotices_t Server_notices = {.limit_milli = -1};
 
 static void
-on_signal(evutil_socket_t fd, short what, void *data)
+on_sigterm(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
@@ -59,7 +59,7 @@
 {
     signal(SIGPIPE, SIG_IGN);
     struct event *term =
-        evsignal_new(this->base, SIGTERM, on_signal, this->base);
+        evsignal_new(this->base, SIGTERM, on_sigterm, this->base);
     event_add(term, NULL);
     printf("port=%u\n", this->port);
     fflush(stdout);
@@ -88,7 +88,7 @@
 }
 
 static void
-add_decimal(struct evkeyvalq *out, const char *name, gint64 milli)
+add_milli_header(struct evkeyvalq *out, const char *name, gint64 milli)
 {
     char text[32];
     g_snprintf(text, sizeof(text), "%" G_GINT64_FORMAT ".%03d", milli / 1000,
@@ -101,13 +101,13 @@
 {
     struct evkeyvalq *out = evhttp_request_get_output_headers(request);
     if (Server_notices.limit_milli >= 0) {
-        add_decimal(out, "X-Request-Limit", Server_notices.limit_milli);
+        add_milli_header(out, "X-Request-Limit", Server_notices.limit_milli);
     }
     if (Server_notices.leaving) {
         evhttp_add_header(out, "X-Leaving", "1");
     }
     if (Server_notices.rest_ms > 0 && status == HTTP_SERVUNAVAIL) {
-        add_decimal(out, "Retry-After", Server_notices.rest_ms);
+        add_milli_header(out, "Retry-After", Server_notices.rest_ms);
     }
 }
 
@@ -145,48 +145,50 @@
 }
 
 json_t *
-Server_control(struct evhttp_request *request, const Knob_t *knobs,
+Server_control(struct evhttp_request *request, const Parameter_t *parameters,
                gsize count)
 {
     json_t *body = Server_body(request);
     json_t *all = json_object();
     for (gsize i = 0; i < count; i++) {
-        const json_t *value = json_object_get(body, knobs[i].name);
+        const json_t *value = json_object_get(body, parameters[i].name);
         if (json_is_integer(value)) {
-            *knobs[i].value = json_integer_value(value);
+            *parameters[i].value = json_integer_value(value);
         }
-        json_object_set_new(all, knobs[i].name, json_integer(*knobs[i].value));
+        json_object_set_new(all, parameters[i].name,
+                            json_integer(*parameters[i].value));
     }
     Server_reply(request, HTTP_OK, all);
     return body;
 }
 
 gboolean
-Server_spend(gint64 *knob)
+Server_countDown(gint64 *counter)
 {
-    if (*knob <= 0) {
+    if (*counter <= 0) {
         return FALSE;
     }
-    (*knob)--;
+    (*counter)--;
     return TRUE;
 }
 
 static void
-on_later(evutil_socket_t fd, short what, void *data)
+on_delay_over(evutil_socket_t fd, short what, void *data)
 {
     (void)fd;
     (void)what;
-    Later_t *later = data;
-    later->call(later->data);
-    g_free(later);
+    DelayedCall_t *delayed = data;
+    delayed->call(delayed->data);
+    g_free(delayed);
 }
 
 void
-Server_after(Server_t *this, gint64 ms, void (*call)(void *data), void *data)
+Server_callAfter(Server_t *this, gint64 ms, void (*call)(void *data),
+                 void *data)
 {
-    Later_t *later = g_new0(Later_t, 1);
-    later->call = call;
-    later->data = data;
+    DelayedCall_t *delayed = g_new0(DelayedCall_t, 1);
+    delayed->call = call;
+    delayed->data = data;
     struct timeval wait = {ms / 1000, (ms % 1000) * 1000};
-    event_base_once(this->base, -1, EV_TIMEOUT, on_later, later, &wait);
+    event_base_once(this->base, -1, EV_TIMEOUT, on_delay_over, delayed, &wait);
 }
--- a/standins/ServiceStandin.c
+++ b/standins/ServiceStandin.c
@@ -1,7 +1,8 @@
 /**
  * DOC: ServiceStandin
  *
- * A plain service that records each run of each key, and fails on demand.
+ * A plain service that counts the runs of each idempotency key and injects
+ * faults on request.
  */
 #include <event2/buffer.h>
 #include <event2/http.h>
@@ -15,29 +16,29 @@
 #define ATTEMPT_HEADER "X-Attempt-Id"
 
 static Server_t server;
-static json_t *runs; /* key -> count of runs */
+static json_t *runs_by_key; /* key -> count of runs */
 static const char *name = "service";
 static gint64 port, delay_ms, refuse, fail, lose_answers, mismatch;
-static gint64 runs_total, asked;
+static gint64 runs_total, received_calls;
 
-static const Knob_t knobs[] = {
+static const Parameter_t parameters[] = {
     {"port", &port},
-    {"delay_ms", &delay_ms},         /* time from the run to its answer */
-    {"refuse", &refuse},             /* next so many: "not run" */
-    {"fail", &fail},                 /* next so many: run, answer 500 */
-    {"lose_answers", &lose_answers}, /* next so many: run, no answer */
-    {"mismatch", &mismatch},         /* next so many: another's attempt id */
+    {"delay_ms", &delay_ms},         /* delay between the run and its answer */
+    {"refuse", &refuse},             /* refuse this many calls as not run */
+    {"fail", &fail},                 /* answer this many runs with 500 */
+    {"lose_answers", &lose_answers}, /* drop this many answers after the run */
+    {"mismatch", &mismatch},         /* send this many wrong attempt ids */
     {"runs", &runs_total},
     {"limit_milli", &Server_notices.limit_milli},
     {"says_leaving", &Server_notices.leaving},
     {"rest_ms", &Server_notices.rest_ms},
-    {"asked", &asked},
+    {"asked", &received_calls},
 };
 
 static const TextOption_t texts[] = {{"name", &name}};
 
 static const char *
-header(struct evhttp_request *request, const char *key)
+input_header(struct evhttp_request *request, const char *key)
 {
     const char *value =
         evhttp_find_header(evhttp_request_get_input_headers(request), key);
@@ -47,21 +48,21 @@
 static void
 count_run(struct evhttp_request *request)
 {
-    const char *key = header(request, "Idempotency-Key");
-    json_int_t before = json_integer_value(json_object_get(runs, key));
-    json_object_set_new(runs, key, json_integer(before + 1));
+    const char *key = input_header(request, "Idempotency-Key");
+    json_int_t before = json_integer_value(json_object_get(runs_by_key, key));
+    json_object_set_new(runs_by_key, key, json_integer(before + 1));
     runs_total++;
 }
 
 static void
-answer(struct evhttp_request *request)
+send_answer(struct evhttp_request *request)
 {
     struct evkeyvalq *out = evhttp_request_get_output_headers(request);
     evhttp_add_header(out, ATTEMPT_HEADER,
-                      Server_spend(&mismatch)
+                      Server_countDown(&mismatch)
                           ? "someone-else"
-                          : header(request, ATTEMPT_HEADER));
-    if (Server_spend(&fail)) {
+                          : input_header(request, ATTEMPT_HEADER));
+    if (Server_countDown(&fail)) {
         Server_refuse(request, HTTP_INTERNAL, "broken", "may_have_run", 0);
         return;
     }
@@ -69,8 +70,8 @@
     Server_reply(request, HTTP_OK,
                  json_pack("{s:s, s:s, s:s, s:s, s:s%}", "service", name,
                            "uri", evhttp_request_get_uri(request), "customer",
-                           header(request, "X-Customer"), "key",
-                           header(request, "Idempotency-Key"), "echo",
+                           input_header(request, "X-Customer"), "key",
+                           input_header(request, "Idempotency-Key"), "echo",
                            evbuffer_get_length(input) > 0
                                ? (char *)evbuffer_pullup(input, -1)
                                : "",
@@ -78,31 +79,32 @@
 }
 
 static void
-answer_later(void *data)
+on_delay_over(void *data)
 {
-    answer(data);
+    send_answer(data);
 }
 
 static void
 handle_call(struct evhttp_request *request)
 {
-    asked++;
-    if (Server_spend(&refuse)) {
+    received_calls++;
+    if (Server_countDown(&refuse)) {
         evhttp_add_header(evhttp_request_get_output_headers(request),
-                          ATTEMPT_HEADER, header(request, ATTEMPT_HEADER));
+                          ATTEMPT_HEADER,
+                          input_header(request, ATTEMPT_HEADER));
         Server_refuse(request, HTTP_SERVUNAVAIL, "busy", "not_run", 0);
         return;
     }
     count_run(request);
-    if (Server_spend(&lose_answers)) {
+    if (Server_countDown(&lose_answers)) {
         Server_drop(request);
         return;
     }
     if (delay_ms > 0) {
-        Server_after(&server, delay_ms, answer_later, request);
+        Server_callAfter(&server, delay_ms, on_delay_over, request);
         return;
     }
-    answer(request);
+    send_answer(request);
 }
 
 static void
@@ -111,10 +113,11 @@
     (void)data;
     const char *path = Server_path(request);
     if (strcmp(path, "/control") == 0) {
-        json_decref(Server_control(request, knobs, G_N_ELEMENTS(knobs)));
+        json_decref(
+            Server_control(request, parameters, G_N_ELEMENTS(parameters)));
     }
     else if (strcmp(path, "/records") == 0) {
-        Server_reply(request, HTTP_OK, json_incref(runs));
+        Server_reply(request, HTTP_OK, json_incref(runs_by_key));
     }
     else {
         handle_call(request);
@@ -124,11 +127,11 @@
 int
 ServiceStandin_run(int argc, char **argv)
 {
-    Options_parse(argc, argv, knobs, G_N_ELEMENTS(knobs), texts,
+    Options_parse(argc, argv, parameters, G_N_ELEMENTS(parameters), texts,
                   G_N_ELEMENTS(texts));
-    runs = json_object();
+    runs_by_key = json_object();
     Server_listen(&server, (guint16)port, handle, NULL);
     Server_run(&server);
-    json_decref(runs);
+    json_decref(runs_by_key);
     return 0;
 }
--- a/standins/main.c
+++ b/standins/main.c
@@ -1,6 +1,7 @@
 /**
  * DOC: wt-standin
  *
+ * Runs the stand-in that the first argument names:
  * wt-standin log|instances|engine|service [OPTION...]
  */
 #include <stdio.h>
--- a/standins/standins.h
+++ b/standins/standins.h
@@ -3,8 +3,8 @@
 /**
  * DOC: standins
  *
- * The programs that take the place of the platform, the engines and the
- * plain services in tests and measurements. Each runs until SIGTERM.
+ * Programs that replace the platform, the engines and the plain services in
+ * tests and benchmarks. Each runs until SIGTERM and returns the exit status.
  */
 
 /** LogStandin_run() - the append-only log service */
--- a/tools/check_deploy.py
+++ b/tools/check_deploy.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Checks what the users' platform needs of this repository: that the deploy
-file's build works in a clean checkout, that the settings template is valid
-once it is filled, and that the platform's names stay in platform/."""
+"""Checks what the users' platform needs from this repository: the deploy
+file's build command works in a clean checkout, the filled settings template
+is valid, and the platform's names occur only in platform/."""
 import os
 import re
 import subprocess
@@ -9,7 +9,7 @@
 import tempfile
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
-# Values as the platform fills them in.
+# Typical values of the template's fields.
 FIELDS = {
     "node_name": "front-a-1", "zone": "a", "region": "r",
     "ip": "127.0.0.1", "port_range.0": "7340",
@@ -21,10 +21,10 @@
     "bounds.fencing_required": "true", "bounds.drain_ms": "2000",
     "bounds.retry_slack": "56",
 }
-# Tables, of which a part of the template stands once for each entry.
+# Tables; a {{#table}} section of the template is repeated for each entry.
 TABLES = {"zones": {"a": "r", "b": "r", "c": "s"}}
-# Figures that the platform may fill in besides: shares of a total, none at
-# all, the least and the most that a team of any size would have.
+# Other figures that the platform may fill in: fractions, empty values, and the
+# minimum and maximum for a team of any size.
 OTHER_FIGURES = (
     {"bounds.retry_slack": "33.1578947368421", "bounds.lease_ms": "3000.0",
      "bounds.drain_ms": "2000.5", "bounds.version_ms": "1e4"},
@@ -35,44 +35,50 @@
     {"bounds.retry_slack": "100000", "bounds.lease_ms": "3600000",
      "bounds.drain_ms": "3600000", "bounds.version_ms": "3600000"},
 )
-# What no team can mean is refused, with the key named.
-NONSENSE = {"bounds.retry_slack": "-1", "bounds.lease_ms": "0",
-            "bounds.drain_ms": "soon", "bounds.version_ms": "1e30",
-            "bounds.fencing_required": "perhaps", "seeds": "nowhere"}
-FOREIGN = (r"x-server-seal|x-not-executed|x-expect-instance|x-token-usage|"
-           r"x-prompt-prefix|x-kv-|x-tenant|api-key:|log-append|log-newest|"
-           r"keyed\.|traffic_split|cold_left_ms|kv_store_addr|/v1/report|"
-           r"/v1/order\b")
-
-
-def fill_part(found):
-    """An entry's key, its value, and a comma except after the last."""
-    if found[1] not in TABLES:
-        raise SystemExit("the template names an unknown table: " + found[1])
-    table = TABLES[found[1]]
+# Invalid values; the program must refuse each and name its key.
+INVALID_VALUES = {
+    "bounds.retry_slack": "-1", "bounds.lease_ms": "0",
+    "bounds.drain_ms": "soon", "bounds.version_ms": "1e30",
+    "bounds.fencing_required": "perhaps", "seeds": "nowhere",
+}
+PLATFORM_NAMES = (
+    r"x-server-seal|x-not-executed|x-expect-instance|x-token-usage|"
+    r"x-prompt-prefix|x-kv-|x-tenant|api-key:|log-append|log-newest|"
+    r"keyed\.|traffic_split|cold_left_ms|kv_store_addr|/v1/report|"
+    r"/v1/order\b")
+
+
+def expand_section(match):
+    """Repeats a table's section for each entry: {{@}} is the entry's key,
+    {{.}} its value, and {{,}} a comma except after the last entry."""
+    if match[1] not in TABLES:
+        raise SystemExit("the template names an unknown table: " + match[1])
+    table = TABLES[match[1]]
     return "".join(
-        found[2].replace("{{@}}", key).replace("{{.}}", value).replace(
-            "{{,}}", "," if place < len(table) else "")
-        for place, (key, value) in enumerate(table.items(), 1))
+        match[2].replace("{{@}}", key).replace("{{.}}", value).replace(
+            "{{,}}", "," if position < len(table) else "")
+        for position, (key, value) in enumerate(table.items(), 1))
 
 
 def fill(text, fields):
-    text = re.sub(r"\{\{#(\w+)\}\}(.*?)\{\{/\1\}\}", fill_part, text)
+    text = re.sub(r"\{\{#(\w+)\}\}(.*?)\{\{/\1\}\}", expand_section, text)
 
-    def value(found):
-        if found[1] not in fields:
+    def value(match):
+        if match[1] not in fields:
             raise SystemExit("the template names an unknown field: "
-                             + found[1])
-        return fields[found[1]]
+                             + match[1])
+        return fields[match[1]]
     return re.sub(r"\{\{([^}]+)\}\}", value, text)
 
 
-def check_names():
-    found = subprocess.run(
-        ["git", "grep", "-nIiE", FOREIGN, "--", "src", "bench", "standins"],
+def check_platform_names():
+    matches = subprocess.run(
+        ["git", "grep", "-nIiE", PLATFORM_NAMES, "--", "src", "bench",
+         "standins"],
         cwd=ROOT, capture_output=True, text=True).stdout
-    if found:
-        raise SystemExit("names of the platform outside platform/:\n" + found)
+    if matches:
+        raise SystemExit("names of the platform outside platform/:\n"
+                         + matches)
 
 
 def check_build(folder):
@@ -90,12 +96,12 @@
     return os.path.join(folder, program)
 
 
-def key_of(template, field):
+def find_key(template, field):
     return re.search(r"^(\w+) = .*\{\{%s\}\}" % re.escape(field), template,
                      re.M)[1]
 
 
-def check_filled(program, folder, template, fields):
+def run_check(program, folder, template, fields):
     path = os.path.join(folder, "filled.ini")
     with open(path, "w") as file:
         file.write(fill(template, fields))
@@ -106,22 +112,22 @@
 def check_template(program, folder):
     with open(os.path.join(folder, "deploy", "router.ini")) as file:
         template = file.read()
-    for other in ({},) + OTHER_FIGURES:
-        result = check_filled(program, folder, template, {**FIELDS, **other})
+    for figures in ({},) + OTHER_FIGURES:
+        result = run_check(program, folder, template, {**FIELDS, **figures})
         if result.returncode != 0:
             raise SystemExit("the template is refused with %r:\n%s"
-                             % (other, result.stdout + result.stderr))
-    for field, value in NONSENSE.items():
-        result = check_filled(program, folder, template,
-                              {**FIELDS, field: value})
-        told = result.stdout + result.stderr
-        if result.returncode == 0 or key_of(template, field) not in told:
+                             % (figures, result.stdout + result.stderr))
+    for field, value in INVALID_VALUES.items():
+        result = run_check(program, folder, template,
+                           {**FIELDS, field: value})
+        output = result.stdout + result.stderr
+        if result.returncode == 0 or find_key(template, field) not in output:
             raise SystemExit("nonsense is not refused by name: %s = %r:\n%s"
-                             % (field, value, told))
+                             % (field, value, output))
 
 
 def main():
-    check_names()
+    check_platform_names()
     with tempfile.TemporaryDirectory() as folder:
         program = check_build(folder)
         check_template(program, folder)
--- a/tools/check_design.py
+++ b/tools/check_design.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Checks what docs/DESIGN.md says of the sources: each class is in one part
-of its table, each name in the table is a class, and no classes include each
-other in a circle."""
+"""Checks the table of parts in docs/DESIGN.md against the sources: each class
+belongs to exactly one part, each name in the table is a class, and the
+includes of the classes form no cycle."""
 import glob
 import os
 import re
@@ -12,7 +12,7 @@
 
 
 def read_classes():
-    """Class -> the classes that its files include."""
+    """Returns a map from each class to the classes that it includes."""
     found = {}
     for path in glob.glob(os.path.join(ROOT, "src", "*.[ch]")):
         name = os.path.basename(path)[:-2]
@@ -25,7 +25,7 @@
 
 
 def read_parts():
-    """The names of each row of the table."""
+    """Returns the class names in each row of the table."""
     with open(os.path.join(ROOT, "docs", "DESIGN.md")) as file:
         table = file.read().split(HEADING)[1].split("\n\n")[0]
     rows = [line.split("|")[2] for line in table.splitlines()[2:]]
@@ -41,29 +41,29 @@
         yield "%s is in a part, but there is no such class" % name
 
 
-def find_circle(classes, name, path):
+def find_cycle(classes, name, path):
     if name in path:
         return path[path.index(name):]
     for other in sorted(classes.get(name, ())):
-        circle = find_circle(classes, other, path + [name])
-        if circle:
-            return circle
-    classes[name] = ()  # nothing beyond it leads back
+        cycle = find_cycle(classes, other, path + [name])
+        if cycle:
+            return cycle
+    classes[name] = ()  # no cycle is reachable from here; skip it from now on
     return None
 
 
-def check_circles(classes):
+def check_cycles(classes):
     for name in sorted(classes):
-        circle = find_circle(classes, name, [])
-        if circle:
-            yield "a circle of includes: " + " ".join(circle)
+        cycle = find_cycle(classes, name, [])
+        if cycle:
+            yield "a circle of includes: " + " ".join(cycle)
             return
 
 
 def main():
     classes = read_classes()
     problems = list(check_parts(classes, read_parts()))
-    problems += check_circles(classes)
+    problems += check_cycles(classes)
     for problem in problems:
         print("docs/DESIGN.md: " + problem)
     return 1 if problems else 0
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""The main job on stand-ins: three routers of examples/kochi, ten engines.
+"""Demo on stand-ins: the three routers of examples/kochi and ten engines.
 
-Starts everything on loopback, applies the declarations through the
-operators' interface, sends streamed requests that share a prefix, shows who
-served them, and stops everything.
+Starts all processes on loopback, applies the declarations through the
+operator API, sends streamed requests that share a prefix, prints the engine
+that served each, and stops all processes.
 """
 import configparser
 import glob
@@ -26,7 +26,7 @@
     return int(address.rsplit(":", 1)[1])
 
 
-def start_all(processes):
+def start_processes(processes):
     settings = [configparser.ConfigParser() for _ in range(3)]
     paths = sorted(glob.glob(os.path.join(EXAMPLE, "router-*.ini")))
     for parser, path in zip(settings, paths):
@@ -37,12 +37,12 @@
     upstreams = configparser.ConfigParser()
     upstreams.read(os.path.join(EXAMPLE, "declarations", "upstreams.ini"))
     for section in upstreams.sections():
-        one = upstreams[section]
-        role = one.get("role", "engine")
+        upstream = upstreams[section]
+        role = upstream.get("role", "engine")
         name = section.split()[1]
-        options = {"models": one["serves"], "prefill_rate": 8000} \
+        options = {"models": upstream["serves"], "prefill_rate": 8000} \
             if role == "engine" else {}
-        processes.append(StandIn(role, port=port_of(one["address"]),
+        processes.append(StandIn(role, port=port_of(upstream["address"]),
                                  name=name, **options))
     for path in paths:
         router = Process([PROGRAM, "router", "--settings", path])
@@ -51,20 +51,20 @@
     return settings
 
 
-def apply(settings):
+def apply_declarations(settings):
     routers = ",".join(s["router"]["operator_listen"] for s in settings)
     environment = dict(os.environ, WHEATTILLER_KEY=KEY,
                        WHEATTILLER_ROUTERS=routers)
-    done = subprocess.run([PROGRAM, "apply", "--wait",
-                           os.path.join(EXAMPLE, "declarations")],
-                          env=environment, capture_output=True, text=True,
-                          check=True)
-    print("declarations:", done.stdout.strip().splitlines()[-1],
+    result = subprocess.run([PROGRAM, "apply", "--wait",
+                             os.path.join(EXAMPLE, "declarations")],
+                            env=environment, capture_output=True, text=True,
+                            check=True)
+    print("declarations:", result.stdout.strip().splitlines()[-1],
           "in force on every router")
     return environment
 
 
-def ask(port, member, question):
+def send_question(port, member, question):
     history = "".join("%s paid the renewal of month %d. " % (member, month)
                       for month in range(120))
     body = {"model": "desk-assist", "stream": True, "max_tokens": 8,
@@ -79,19 +79,20 @@
 
 
 def explain(environment, request_id):
-    done = subprocess.run([PROGRAM, "explain", "--output", "json", request_id],
-                          env=environment, capture_output=True, text=True,
-                          check=True)
-    return json.loads(done.stdout)["attempts"][-1]
+    result = subprocess.run([PROGRAM, "explain", "--output", "json",
+                             request_id],
+                            env=environment, capture_output=True, text=True,
+                            check=True)
+    return json.loads(result.stdout)["attempts"][-1]
 
 
-def show(settings, environment):
+def show_placement(settings, environment):
     questions = ["May I freeze my plan in May?", "When is my renewal due?",
                  "What did I pay in March?"]
     for member in ("Meera", "Joseph"):
         for number, question in enumerate(questions):
             router = settings[number % 3]["router"]
-            stream = ask(port_of(router["listen"]), member, question)
+            stream = send_question(port_of(router["listen"]), member, question)
             attempt = explain(environment, stream.headers["X-Request-Id"])
             print("%-9s %-6s %-30s -> %-14s cached %4d of %4d tokens, "
                   "first token %5.1f ms, %s" % (
@@ -102,7 +103,7 @@
             print("          answer:%s" % "".join(stream.tokens()))
 
 
-def charge(settings):
+def send_charge(settings):
     router = settings[0]["router"]
     answer = request(
         port_of(router["listen"]), "POST", "/v1/services/member-ledger/renew",
@@ -116,14 +117,14 @@
 def main():
     processes = []
     try:
-        settings = start_all(processes)
-        environment = apply(settings)
-        for one in settings:
-            port = port_of(one["router"]["listen"])
+        settings = start_processes(processes)
+        environment = apply_declarations(settings)
+        for router_settings in settings:
+            port = port_of(router_settings["router"]["listen"])
             wait_for(lambda: request(port, "GET", "/readyz").status == 200,
                      "a ready router")
-        show(settings, environment)
-        charge(settings)
+        show_placement(settings, environment)
+        send_charge(settings)
     finally:
         for process in reversed(processes):
             process.kill()
--- a/tools/draw_sites.py
+++ b/tools/draw_sites.py
@@ -1,32 +1,32 @@
 #!/usr/bin/env python3
-"""Draws deployments like a given one, with other machines.
+"""Generates random variants of a deployment, with other machines.
 
     tools/draw_sites.py SITE.toml FOLDER SEED...
 
-For each seed a site file is written whose engines compute, hold and move
-other amounts, and of which there are a few more or fewer, as are routers. The
-same seed draws the same deployment. The files that SITE names beside itself
-have to be copied to FOLDER by hand.
+Writes one site file per seed. It scales the engines' compute speed, KV memory
+and link bandwidth, and varies the number of engines and routers by at most
+one per line. The same seed gives the same deployment. Files that SITE refers
+to have to be copied to FOLDER by hand.
 """
 import os
 import random
 import re
 import sys
 
-SPEED = (0.6, 1.6)     # of computing, relative to the given one
-MEMORY = (0.6, 1.4)
-LINK = (0.35, 1.5)
-MACHINES = (-1, 0, 1)  # more or fewer in a hall
+SPEED_RANGE = (0.6, 1.6)  # factors of the original deployment's figures
+MEMORY_RANGE = (0.6, 1.4)
+LINK_RANGE = (0.35, 1.5)
+COUNT_CHANGES = (-1, 0, 1)  # change of a hall's count
 
 
-def scale(text, name, times, whole=False):
-    def change(found):
-        value = float(found[1]) * times
+def scale(text, name, factor, whole=False):
+    def replace(match):
+        value = float(match[1]) * factor
         return "%s = %s" % (name, int(value) if whole else round(value, 4))
-    return re.sub(r"\b%s = ([0-9.]+)" % name, change, text)
+    return re.sub(r"\b%s = ([0-9.]+)" % name, replace, text)
 
 
-def draw_engine(line, speed, memory, link):
+def scale_engine(line, speed, memory, link):
     line = scale(line, "step_ms", 1 / speed)
     line = scale(line, "prefill_tokens_per_ms", speed)
     line = scale(line, "pairs_ms_per_m", 1 / speed)
@@ -34,26 +34,26 @@
     return scale(line, "link_mbps", link)
 
 
-def vary_count(line, draw):
-    def change(found):
-        return "count = %d" % max(int(found[1]) + draw.choice(MACHINES), 1)
-    return re.sub(r"\bcount = ([0-9]+)", change, line)
+def vary_count(line, rng):
+    def replace(match):
+        return "count = %d" % max(int(match[1]) + rng.choice(COUNT_CHANGES), 1)
+    return re.sub(r"\bcount = ([0-9]+)", replace, line)
 
 
-def draw_site(text, seed):
-    draw = random.Random(seed)
-    speed = draw.uniform(*SPEED)
-    memory = draw.uniform(*MEMORY)
-    link = draw.uniform(*LINK)
+def generate_site(text, seed):
+    rng = random.Random(seed)
+    speed = rng.uniform(*SPEED_RANGE)
+    memory = rng.uniform(*MEMORY_RANGE)
+    link = rng.uniform(*LINK_RANGE)
     lines = []
     for line in text.splitlines():
         if 'model = "llm"' in line:
-            line = vary_count(draw_engine(line, speed, memory, link), draw)
+            line = vary_count(scale_engine(line, speed, memory, link), rng)
         elif 'model = "kvstore"' in line:
             line = scale(line, "link_mbps", link)
             line = scale(line, "kv_tokens", memory, whole=True)
         elif 'class = "front"' in line and "count" in line:
-            line = vary_count(line, draw)
+            line = vary_count(line, rng)
         lines.append(line)
     print("seed %d: speed %.2f memory %.2f links %.2f" %
           (seed, speed, memory, link))
@@ -68,7 +68,7 @@
     for seed in seeds:
         path = os.path.join(folder, "%s-%s.toml" % (name, seed))
         with open(path, "w") as file:
-            file.write(draw_site(text, int(seed)))
+            file.write(generate_site(text, int(seed)))
 
 
 if __name__ == "__main__":
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""A seeded soak: routers, engines, services and the platform under random
-faults, every promise checked on the stand-ins' own records.
+"""A seeded soak test: routers, engines, services and the platform run under
+random faults, and each guarantee is checked against the stand-ins' records.
 
     soak.py SEED SECONDS [ROUTERS ENGINES SERVICES]
 
-Prints what it did and each violation; exits with 1 if there was any.
+Prints counts of its actions and each violation; exits with 1 on any.
 """
 import http.client
 import json
@@ -23,12 +23,13 @@
 CHARGERS = 6
 PROMPTS = 60
 TOKENS = 30
-PATIENCE = 20  # seconds for one request
-LOST = (OSError, http.client.HTTPException, ValueError)
-LIMIT_SPAN_S = 4  # in which a limit is kept
-LEFT_S = 2.5  # all routers know of one that leaves, a frozen one included
-REST_MS = 2000  # that a service asks for, as it refuses for so long
-REST_SPAN_S = 5
+REQUEST_TIMEOUT_S = 20  # timeout of one request
+CONNECTION_ERRORS = (OSError, http.client.HTTPException, ValueError)
+LIMIT_SPAN_S = 4  # time over which a limit is checked
+# Time until all routers, including a paused one, know of a leaving engine.
+LEAVING_KNOWN_S = 2.5
+BACKOFF_MS = 2000  # backoff that a refusing service asks for
+BACKOFF_SPAN_S = 5
 
 
 class Soak:
@@ -41,9 +42,9 @@
         self.lock = threading.Lock()
         self.violations = []
         self.counts = {}
-        self.answers = {}   # prompt -> text of its first whole answer
-        self.verdicts = {}  # key -> list of what its callers were told
-        self.offsets = {}   # router's process -> last fold offset seen
+        self.answers = {}     # prompt -> text of its first complete answer
+        self.run_states = {}  # key -> run states reported to its callers
+        self.offsets = {}     # router process -> last fold offset
         self.stop = threading.Event()
         self.faults_end = threading.Event()
 
@@ -56,7 +57,7 @@
             self.violations.append(text)
         print("VIOLATION", text, flush=True)
 
-    # Starting:
+    # Start:
 
     def start(self):
         routers, engines, services = self.sizes
@@ -64,7 +65,7 @@
             "e%d" % n, decode_ms=10, incarnation=1000) for n in range(engines)]
         self.services = [self.cluster.service("l%d" % n, "ledger")
                          for n in range(services)]
-        self.ledger = {}    # key -> runs, of services that were ended
+        self.ledger = {}    # key -> runs on services that were stopped
         self.incarnations = dict.fromkeys(range(engines), 1000)
         self.routers = self.cluster.start(
             *["r%d" % n for n in range(routers)], token_timeout="2s",
@@ -72,7 +73,7 @@
             snapshot_records="20", retry_percent="100")
         self.router_lock = threading.Lock()
 
-    def some_router(self, rng):
+    def random_router(self, rng):
         with self.router_lock:
             return rng.choice(self.routers)
 
@@ -84,8 +85,9 @@
         if known != text:
             self.violate("two answers to one prompt: %r %r" % (known, text))
 
-    def ask(self, rng, number):
-        """One streamed request, resumed elsewhere when its router dies."""
+    def send_stream(self, rng, number):
+        """Sends a streamed request, resumed on another router when its router
+        dies."""
         prompt = "question %d of the season " % number * 30
         customer = "acme" if number % 2 else "other"
         body = {"model": "m", "prompt": prompt, "max_tokens": TOKENS,
@@ -93,14 +95,15 @@
         headers = {"Authorization": "Bearer %s-key" % customer}
         tokens, token = [], None
         for _ in range(6):
-            router = self.some_router(rng)
-            more = dict(headers, **({"Last-Event-ID": token} if token else {}))
+            router = self.random_router(rng)
+            request_headers = dict(
+                headers, **({"Last-Event-ID": token} if token else {}))
             try:
                 stream = Stream(router.port, "/v1/completions",
-                                None if token else body, more)
-                stream.connection.sock.settimeout(PATIENCE)
+                                None if token else body, request_headers)
+                stream.connection.sock.settimeout(REQUEST_TIMEOUT_S)
                 stream.read()
-            except LOST:
+            except CONNECTION_ERRORS:
                 self.count("connections_lost")
                 continue
             if stream.status != 200:
@@ -127,31 +130,31 @@
                 self.violate("whole but short: %d" % len(tokens))
             self.check_text(prompt, "".join(tokens))
 
-    def caller(self, number):
+    def run_caller(self, number):
         rng = random.Random("%d caller %d" % (self.seed, number))
         while not self.stop.is_set():
             try:
-                self.ask(rng, rng.randrange(PROMPTS))
-            except LOST:
+                self.send_stream(rng, rng.randrange(PROMPTS))
+            except CONNECTION_ERRORS:
                 self.count("connections_lost")
 
     def charge(self, rng, key):
-        router = self.some_router(rng)
+        router = self.random_router(rng)
         try:
             answer = request(router.port, "POST", "/v1/services/ledger/renew",
                              {"member": 1},
                              {"Authorization": "Bearer acme-key",
                               "Idempotency-Key": key,
                               "X-Request-Deadline-Ms": "4000"},
-                             timeout=PATIENCE)
+                             timeout=REQUEST_TIMEOUT_S)
             run = "ran" if answer.status == 200 else answer.error()["run"]
-        except LOST:
+        except CONNECTION_ERRORS:
             run = "may_have_run"
         with self.lock:
-            self.verdicts.setdefault(key, []).append(run)
+            self.run_states.setdefault(key, []).append(run)
 
-    def charger(self, number):
-        """Each key is charged at one to three routers, often at once."""
+    def run_charger(self, number):
+        """Sends each key to one to three random routers, often in parallel."""
         rng = random.Random("%d charger %d" % (self.seed, number))
         while not self.stop.is_set():
             key = uuid7()
@@ -165,19 +168,19 @@
             for thread in threads:
                 thread.join()
 
-    def operator(self):
+    def run_operator(self):
         rng = random.Random("%d operator" % self.seed)
         while not self.stop.is_set():
             text = (BASE_DECLARATIONS + self.cluster.upstreams).replace(
                 "level = 10", "level = %d" % rng.randint(10, 29))
             path = self.cluster.write("change.ini", text)
-            done = self.cluster.command(
-                "apply", path, routers=[self.some_router(rng)])
-            self.count("commands_exit_%d" % done.returncode)
+            result = self.cluster.command(
+                "apply", path, routers=[self.random_router(rng)])
+            self.count("commands_exit_%d" % result.returncode)
             time.sleep(rng.random())
 
-    def watcher(self):
-        """No router's configuration ever goes back."""
+    def watch_offsets(self):
+        """Checks that no router's fold offset ever decreases."""
         while not self.stop.is_set():
             with self.router_lock:
                 routers = list(self.routers)
@@ -185,7 +188,7 @@
                 try:
                     offset = router.counters("config_fold")[
                         "config_fold_offset"]
-                except (LOST + (KeyError,)):
+                except (CONNECTION_ERRORS + (KeyError,)):
                     continue
                 last = self.offsets.get(router, 0)
                 if offset < last:
@@ -198,28 +201,29 @@
 
     def kill_router(self):
         with self.router_lock:
-            place = self.rng.randrange(len(self.routers))
-            old = self.routers[place]
+            index = self.rng.randrange(len(self.routers))
+            old = self.routers[index]
             old.kill()
             self.cluster.peers.remove(old.peer_address)
-            self.routers[place] = self.cluster.router(
+            self.routers[index] = self.cluster.router(
                 old.name, token_timeout="2s", first_token_timeout="4s",
                 default_deadline="15s", snapshot_records="20",
                 retry_percent="100")
 
     def pause_router(self):
-        router = self.some_router(self.rng)
+        router = self.random_router(self.rng)
         router.signal(STOP)
         time.sleep(self.rng.uniform(0.5, 4))
         router.signal(CONTINUE)
 
     def stop_router(self):
-        """A planned stop; its streams must all be whole."""
+        """Replaces a router with a planned stop: the old one must complete its
+        streams and exit with 0."""
         with self.router_lock:
-            place = self.rng.randrange(len(self.routers))
-            old = self.routers[place]
+            index = self.rng.randrange(len(self.routers))
+            old = self.routers[index]
             self.cluster.peers.remove(old.peer_address)
-            self.routers[place] = self.cluster.router(
+            self.routers[index] = self.cluster.router(
                 old.name, token_timeout="2s", first_token_timeout="4s",
                 default_deadline="15s", snapshot_records="20",
                 retry_percent="100")
@@ -227,7 +231,7 @@
         if code != 0:
             self.violate("%s stopped with %d" % (old.name, code))
 
-    def note_engine(self, engine):
+    def check_engine(self, engine):
         state = engine.state()
         self.count("runs", state["runs"])
         if state["violations"]:
@@ -238,48 +242,50 @@
         self.replace_engine(self.rng.randrange(len(self.engines)))
 
     def leave_engine(self):
-        """It says that it leaves and runs no new stream once all know."""
-        place = self.rng.randrange(len(self.engines))
-        engine = self.engines[place]
+        """Makes an engine announce leaving. It must run no new stream once all
+        routers know."""
+        index = self.rng.randrange(len(self.engines))
+        engine = self.engines[index]
         asked = engine.state()["asked"]
         engine.control(says_leaving=1)
-        time.sleep(LEFT_S)
-        told = engine.state()["asked"] > asked
+        time.sleep(LEAVING_KNOWN_S)
+        known = engine.state()["asked"] > asked
         before = engine.state()["runs"]
         time.sleep(self.rng.uniform(0.5, 1.5))
         late = engine.state()["runs"] - before
-        if told and late > 0:
+        if known and late > 0:
             self.violate("an engine got %d streams after it said it leaves"
                          % late)
-        self.replace_engine(place)
+        self.replace_engine(index)
 
     def rest_service(self):
-        """It refuses calls, and gets next to none of them as it rests."""
+        """Makes a service refuse calls and ask for a backoff. Routers must
+        send it almost no calls during the backoff."""
         service = self.rng.choice(self.services)
-        before = service.control(refuse=100000, rest_ms=REST_MS)["asked"]
-        time.sleep(REST_SPAN_S)
-        came = service.control(refuse=0, rest_ms=0)["asked"] - before
-        rests = REST_SPAN_S * 1000 / REST_MS + 2
-        if came > len(self.routers) * rests + CHARGERS:
+        before = service.control(refuse=100000, rest_ms=BACKOFF_MS)["asked"]
+        time.sleep(BACKOFF_SPAN_S)
+        received = service.control(refuse=0, rest_ms=0)["asked"] - before
+        backoffs = BACKOFF_SPAN_S * 1000 / BACKOFF_MS + 2
+        if received > len(self.routers) * backoffs + CHARGERS:
             self.violate("a service got %d calls in rests of %d ms" % (
-                came, REST_MS))
+                received, BACKOFF_MS))
 
-    def replace_engine(self, place):
-        old = self.engines[place]
-        self.note_engine(old)
+    def replace_engine(self, index):
+        old = self.engines[index]
+        self.check_engine(old)
         old.kill()
         time.sleep(self.rng.uniform(0, 1))
-        self.incarnations[place] += 1
-        self.engines[place] = self.cluster.add(StandIn(
-            "engine", port=old.port, name="e%d" % place, models="m",
-            decode_ms=10, incarnation=self.incarnations[place]))
+        self.incarnations[index] += 1
+        self.engines[index] = self.cluster.add(StandIn(
+            "engine", port=old.port, name="e%d" % index, models="m",
+            decode_ms=10, incarnation=self.incarnations[index]))
 
     def spoil_engine(self):
-        knob = self.rng.choice([
+        parameters = self.rng.choice([
             {"cut_after": self.rng.randint(1, 20), "cuts": 3},
             {"mismatch": 2}, {"cross": 2}, {"silent": 2}, {"no_end": 2},
             {"refuse": 5}, {"forget_streams": 1}, {"forget_streams": 0}])
-        self.rng.choice(self.engines).control(**knob)
+        self.rng.choice(self.engines).control(**parameters)
 
     def freeze_engine(self):
         engine = self.rng.choice(self.engines)
@@ -288,16 +294,16 @@
         engine.signal(CONTINUE)
 
     def spoil_service(self):
-        knob = self.rng.choice([
+        parameters = self.rng.choice([
             {"refuse": 3}, {"fail": 2}, {"lose_answers": 2}, {"mismatch": 2},
             {"delay_ms": 200}, {"delay_ms": 0}])
-        self.rng.choice(self.services).control(**knob)
+        self.rng.choice(self.services).control(**parameters)
 
     def spoil_log(self):
-        knob = self.rng.choice([
+        parameters = self.rng.choice([
             {"lose_answers": 3}, {"land_late": 3, "late_ms": 700},
             {"slow_ms": 300}, {"slow_ms": 0}])
-        self.cluster.log.control(**knob)
+        self.cluster.log.control(**parameters)
 
     def take_log_down(self):
         self.cluster.log.control(down=1)
@@ -305,17 +311,18 @@
         self.cluster.log.control(down=0)
 
     def limit_service(self):
-        """It names a limit, and gets no more once all must know it."""
+        """Makes a service announce a limit. It must get no more calls than
+        that once all routers know."""
         service = self.rng.choice(self.services)
         per_s = self.rng.choice([0, 1, 3])
         service.control(limit_milli=per_s * 1000)
         time.sleep(self.rng.uniform(3, 4))
         before = service.control()["asked"]
         time.sleep(LIMIT_SPAN_S)
-        came = service.control(limit_milli=-1)["asked"] - before
-        if came > 1.5 * per_s * LIMIT_SPAN_S + 5:
+        received = service.control(limit_milli=-1)["asked"] - before
+        if received > 1.5 * per_s * LIMIT_SPAN_S + 5:
             self.violate("a service got %d calls in %d s at a limit of %d" % (
-                came, LIMIT_SPAN_S, per_s))
+                received, LIMIT_SPAN_S, per_s))
 
     def fault(self):
         kinds = [self.kill_router, self.pause_router, self.stop_router,
@@ -327,34 +334,34 @@
         kind()
         self.count("fault_" + kind.__name__)
 
-    # The end:
+    # Final checks:
 
     def check_keys(self):
         runs = {}
         for service in self.services:
             for key, number in service.call("GET", "/records").items():
                 runs[key] = runs.get(key, 0) + number
-        for key, verdicts in self.verdicts.items():
-            for verdict in verdicts:
-                self.count("charges_told_" + verdict)
+        for key, run_states in self.run_states.items():
+            for run_state in run_states:
+                self.count("charges_told_" + run_state)
             number = runs.get(key, 0)
             if number > 1:
                 self.violate("key %s ran %d times" % (key, number))
-            if "ran" in verdicts and number == 0:
+            if "ran" in run_states and number == 0:
                 self.violate("key %s said to have run did not" % key)
-            if set(verdicts) == {"not_run"} and number > 0:
+            if set(run_states) == {"not_run"} and number > 0:
                 self.violate("key %s said not run ran" % key)
         self.count("keys_run", len(runs))
 
     def check_agreement(self):
-        """With the faults gone all routers come to one state."""
+        """Checks that all routers converge on one state after the faults."""
         end = time.monotonic() + 30
         while True:
             states = set()
             for router in self.routers:
-                done = self.cluster.command("status", "--output", "json",
-                                            routers=[router])
-                state = json.loads(done.stdout)["router"]
+                result = self.cluster.command("status", "--output", "json",
+                                              routers=[router])
+                state = json.loads(result.stdout)["router"]
                 states.add((state["fold_offset"], state["digest"]))
             if len(states) == 1:
                 return
@@ -363,7 +370,7 @@
                 return
             time.sleep(0.2)
 
-    def calm_down(self):
+    def clear_faults(self):
         self.cluster.log.control(down=0, slow_ms=0, lose_answers=0,
                                  land_late=0)
         for service in self.services:
@@ -372,25 +379,25 @@
 
     def run(self):
         self.start()
-        threads = ([threading.Thread(target=self.caller, args=(n,))
+        threads = ([threading.Thread(target=self.run_caller, args=(n,))
                     for n in range(CALLERS)]
-                   + [threading.Thread(target=self.charger, args=(n,))
+                   + [threading.Thread(target=self.run_charger, args=(n,))
                       for n in range(CHARGERS)]
-                   + [threading.Thread(target=self.operator),
-                      threading.Thread(target=self.watcher)])
+                   + [threading.Thread(target=self.run_operator),
+                      threading.Thread(target=self.watch_offsets)])
         for thread in threads:
             thread.start()
         end = time.monotonic() + self.seconds
         while time.monotonic() < end and not self.violations:
             self.fault()
             time.sleep(self.rng.uniform(0.1, 0.8))
-        self.calm_down()
+        self.clear_faults()
         self.stop.set()
         for thread in threads:
             thread.join()
         self.check_keys()
         for engine in self.engines:
-            self.note_engine(engine)
+            self.check_engine(engine)
         self.check_agreement()
 
 
