--- a/src/CrashTable.h
+++ b/src/CrashTable.h
@@ -75,8 +75,8 @@
  *     replaced when all are in use
  * @mark_count: used elements of @marks
  * @last_ms: time of the latest crash, monotonic
- * @is_own: this router has counted one of them itself
- * @is_recorded: it stands in the platform's store
+ * @is_local: this router has recorded at least one of the crashes itself
+ * @is_stored: the entry is in the platform's store
  */
 typedef struct {
     RequestDigest_t digest;
--- a/src/RecordFollower.h
+++ b/src/RecordFollower.h
@@ -112,7 +112,7 @@
  * @cursor: cursor of the query; the page is applied only if the list of
  *     peers still stands there, or if it is the beginning and no page of a
  *     peer precedes it
- * @list_page: the page; its @reached is ignored if it is the last one
+ * @list_page: the page; its field reached is ignored if it is the last one
  * @at_ms: monotonic time at which the topic ended at the page's end
  *
  * Return: whether the page was applied
