--- a/src/CacheStore.c
+++ b/src/CacheStore.c
@@ -12,7 +12,7 @@
 #define PREFIXES_MAX 16384
 
 struct CacheStore {
-    HintFlood_t *hints;
+    HintBroadcast_t *hints;
     GHashTable *entries; /* &prefix -> Entry_t */
     GPtrArray *copies;   /* Copy_t, removed ones last */
     guint copy_count;    /* copies in use, at least one */
@@ -48,7 +48,7 @@
 }
 
 CacheStore_t *
-CacheStore_create(HintFlood_t *hints)
+CacheStore_create(HintBroadcast_t *hints)
 {
     CacheStore_t *this = g_new0(CacheStore_t, 1);
     this->hints = hints;
@@ -116,7 +116,7 @@
 {
     Hint_t hint = {.kind = HINT_SAVED, .subject = prefix};
     find_or_create_entry(this, prefix)->stored_ms = now_ms;
-    HintFlood_broadcast(this->hints, &hint);
+    HintBroadcast_add(this->hints, &hint);
 }
 
 gboolean
--- a/src/CacheStore.h
+++ b/src/CacheStore.h
@@ -11,7 +11,7 @@
  */
 #include <glib.h>
 
-#include "HintFlood.h"
+#include "HintBroadcast.h"
 #include "TransferLink.h"
 
 /** struct CacheStore_t - opaque */
@@ -21,7 +21,7 @@
  * CacheStore_create() - a store that is not known to hold any prefix
  * @hints: sends what was saved to the other routers; must outlive it
  */
-CacheStore_t *CacheStore_create(HintFlood_t *hints);
+CacheStore_t *CacheStore_create(HintBroadcast_t *hints);
 
 /** CacheStore_destroy() - free it */
 void CacheStore_destroy(CacheStore_t *this);
--- a/src/Context.h
+++ b/src/Context.h
@@ -52,8 +52,8 @@
  *     NULL
  * @speeds: EngineSpeed_t * by the name of the service, if engines don't report
  *     their speeds; else NULL
- * @pauses: detects long prompts that delay streams; NULL on the native
- * platform
+ * @engine_split: detects long prompts that delay streams; NULL on the
+ *     native platform
  * @run_times: run times of streams by route; NULL on the native platform
  * @estimate_error: errors of the estimates; NULL on the native platform
  * @load_share: sends upstreams' loads to the other routers, or NULL
@@ -93,7 +93,7 @@
     UpstreamListing_t *listing;
     CacheStore_t *cache_store;
     GHashTable *speeds;
-    EngineSplit_t *pauses;
+    EngineSplit_t *engine_split;
     RunTimes_t *run_times;
     EstimateError_t *estimate_error;
     struct LoadShare *load_share;
--- a/src/CrashGuard.c
+++ b/src/CrashGuard.c
@@ -7,8 +7,8 @@
 #include "Clock.h"
 #include "CompletedRequests.h"
 #include "CrashEvidence.h"
-#include "CrashNews.h"
 #include "CrashRecords.h"
+#include "CrashUpdates.h"
 #include "LocalCrashes.h"
 #include "Log.h"
 
@@ -22,7 +22,7 @@
     CrashGuardSpec_t spec;
     CrashTable_t *table;
     CrashEvidence_t *evidence;
-    CrashNews_t *news;
+    CrashUpdates_t *updates;
     CrashRecords_t *records;
     CompletedRequests_t *completed;
     GHashTable *requests; /* set of active requests */
@@ -99,7 +99,7 @@
     if (!CrashTable_voidAll(this->table, digest)) {
         return FALSE;
     }
-    CrashNews_broadcast(this->news, digest);
+    CrashUpdates_broadcast(this->updates, digest);
     if (was_quarantined) {
         log_entry("request_let_go", entry, reason);
     }
@@ -190,7 +190,7 @@
     if (exempt_if_completed(this, entry)) {
         return;
     }
-    CrashNews_broadcast(this->news, &attempt->digest);
+    CrashUpdates_broadcast(this->updates, &attempt->digest);
     if (change == CRASH_QUARANTINED) {
         begin_quarantine(this, entry, proof);
     }
@@ -206,7 +206,7 @@
     RequestDigest_t digest;
     gint64 age_ms = MAX(Clock_wallMs() - record->last_wall_ms, 0);
     CrashChange_t change =
-        CrashNews_apply(this->table, record->fact, Clock_nowMs() - age_ms);
+        CrashUpdates_apply(this->table, record->fact, Clock_nowMs() - age_ms);
     if (record->fact->digest.len != sizeof(digest.bytes)) {
         return;
     }
@@ -294,7 +294,7 @@
 }
 
 static const CrashEvidenceEvents_t evidence_events = {.ended = on_crash};
-static const CrashNewsEvents_t news_events = {.changed = on_changed};
+static const CrashUpdatesEvents_t updates_events = {.changed = on_changed};
 
 CrashGuard_t *
 CrashGuard_create(struct event_base *base, const CrashGuardSpec_t *spec)
@@ -312,8 +312,8 @@
     this->table = CrashTable_create();
     this->evidence = CrashEvidence_create(base, spec->tests_upstreams,
                                           &evidence_events, this);
-    this->news = CrashNews_create(base, spec->membership, this->table,
-                                  &news_events, this);
+    this->updates = CrashUpdates_create(base, spec->membership, this->table,
+                                        &updates_events, this);
     this->records = CrashRecords_create(base, &records);
     this->completed = CompletedRequests_create();
     this->requests = g_hash_table_new(g_direct_hash, g_direct_equal);
@@ -333,7 +333,7 @@
     g_hash_table_destroy(this->requests);
     CompletedRequests_destroy(this->completed);
     CrashRecords_destroy(this->records);
-    CrashNews_destroy(this->news);
+    CrashUpdates_destroy(this->updates);
     CrashEvidence_destroy(this->evidence);
     CrashTable_destroy(this->table);
     g_free(this);
@@ -444,7 +444,7 @@
         return;
     }
     if (CrashTable_retract(this->table, crash)) {
-        CrashNews_broadcastAlive(this->news, crash);
+        CrashUpdates_broadcastAlive(this->updates, crash);
         Log_begin(LOG_LEVEL_INFO, "crash_retracted");
         Log_text("upstream", upstream->name->str);
         Log_end();
@@ -470,7 +470,7 @@
 void
 CrashGuard_receive(CrashGuard_t *this, const Wt__CrashNews *message)
 {
-    CrashNews_receive(this->news, message);
+    CrashUpdates_receive(this->updates, message);
     if (message->complete) {
         on_records_known(this);
     }
@@ -479,7 +479,7 @@
 void
 CrashGuard_syncPeer(CrashGuard_t *this, Member_t *member)
 {
-    CrashNews_syncPeer(this->news, member, this->records_known);
+    CrashUpdates_syncPeer(this->updates, member, this->records_known);
 }
 
 gboolean
--- a/src/CrashGuard.h
+++ b/src/CrashGuard.h
@@ -6,7 +6,7 @@
  * Keeps poison requests, which crash the upstreams that run them, from being
  * sent to further upstreams. It is notified of each lost or completed attempt,
  * finds out whether the upstream has crashed (CrashEvidence.h), shares the
- * crashes with all routers (CrashTable.h, CrashNews.h, CrashRecords.h) and
+ * crashes with all routers (CrashTable.h, CrashUpdates.h, CrashRecords.h) and
  * decides whether a request is quarantined. A request that was completed
  * shortly before (CompletedRequests.h) is exempt once.
  */
--- a/src/CrashRecords.c
+++ b/src/CrashRecords.c
@@ -1,7 +1,7 @@
 #include "CrashRecords.h"
 
 #include "Clock.h"
-#include "CrashNews.h"
+#include "CrashUpdates.h"
 #include "Log.h"
 #include "Random.h"
 #include "StoreCalls.h"
@@ -244,7 +244,7 @@
     Wt__CrashRecord record = WT__CRASH_RECORD__INIT;
     Wt__CrashFact fact;
     guint64 ids[CRASHES_PER_REQUEST_MAX];
-    CrashNews_encode(entry, &fact, ids);
+    CrashUpdates_encode(entry, &fact, ids);
     record.fact = &fact;
     record.last_wall_ms = Clock_wallMs() - (Clock_nowMs() - entry->last_ms);
     gsize size = wt__crash_record__get_packed_size(&record);
--- a/src/CrashNews.c
+++ b/src/CrashUpdates.c
@@ -1,4 +1,4 @@
-#include "CrashNews.h"
+#include "CrashUpdates.h"
 
 #include <string.h>
 
@@ -13,10 +13,10 @@
 /* Facts of one message to a peer that just connected. */
 #define FACTS_PER_MESSAGE 256
 
-struct CrashNews {
+struct CrashUpdates {
     Membership_t *membership;
     CrashTable_t *table;
-    const CrashNewsEvents_t *events;
+    const CrashUpdatesEvents_t *events;
     void *owner;
     GHashTable *unsent; /* set of digests of changed entries */
     GArray *alive;      /* retracted crashes to send */
@@ -33,8 +33,8 @@
 /* Valid and voided crashes share @ids: valid ones fill it from the start,
  * voided ones from the end. */
 void
-CrashNews_encode(const CrashEntry_t *entry, Wt__CrashFact *out,
-                 guint64 ids[CRASHES_PER_REQUEST_MAX])
+CrashUpdates_encode(const CrashEntry_t *entry, Wt__CrashFact *out,
+                    guint64 ids[CRASHES_PER_REQUEST_MAX])
 {
     guint counted = 0;
     guint voided = CRASHES_PER_REQUEST_MAX;
@@ -54,8 +54,8 @@
 }
 
 CrashChange_t
-CrashNews_apply(CrashTable_t *table, const Wt__CrashFact *message,
-                gint64 at_ms)
+CrashUpdates_apply(CrashTable_t *table, const Wt__CrashFact *message,
+                   gint64 at_ms)
 {
     CrashFact_t fact = {.customer_hash = message->owner, .at_ms = at_ms};
     CrashChange_t change = CRASH_UNCHANGED;
@@ -81,7 +81,7 @@
 add_entry(Batch_t *batch, const CrashEntry_t *entry)
 {
     guint idx = batch->count++;
-    CrashNews_encode(entry, &batch->facts[idx], batch->ids[idx]);
+    CrashUpdates_encode(entry, &batch->facts[idx], batch->ids[idx]);
     batch->list[idx] = &batch->facts[idx];
 }
 
@@ -102,7 +102,7 @@
 /* Moves unsent entries with at least @min_crashes crashes to the batch until
  * it is full. */
 static void
-add_unsent(CrashNews_t *this, Batch_t *batch, guint min_crashes)
+add_unsent(CrashUpdates_t *this, Batch_t *batch, guint min_crashes)
 {
     GHashTableIter iter;
     gpointer digest = NULL;
@@ -125,7 +125,7 @@
 {
     (void)fd;
     (void)what;
-    CrashNews_t *this = data;
+    CrashUpdates_t *this = data;
     g_autofree Batch_t *batch = g_new0(Batch_t, 1);
     Wt__CrashNews body;
     Wt__PeerMessage message;
@@ -139,12 +139,12 @@
     }
 }
 
-CrashNews_t *
-CrashNews_create(struct event_base *base, Membership_t *membership,
-                 CrashTable_t *table, const CrashNewsEvents_t *events,
-                 void *owner)
+CrashUpdates_t *
+CrashUpdates_create(struct event_base *base, Membership_t *membership,
+                    CrashTable_t *table, const CrashUpdatesEvents_t *events,
+                    void *owner)
 {
-    CrashNews_t *this = g_new0(CrashNews_t, 1);
+    CrashUpdates_t *this = g_new0(CrashUpdates_t, 1);
     this->membership = membership;
     this->table = table;
     this->events = events;
@@ -157,7 +157,7 @@
 }
 
 void
-CrashNews_destroy(CrashNews_t *this)
+CrashUpdates_destroy(CrashUpdates_t *this)
 {
     event_free(this->broadcast_timer);
     g_hash_table_destroy(this->unsent);
@@ -166,7 +166,7 @@
 }
 
 static void
-schedule_broadcast(CrashNews_t *this)
+schedule_broadcast(CrashUpdates_t *this)
 {
     if (!evtimer_pending(this->broadcast_timer, NULL)) {
         Clock_arm(this->broadcast_timer, BROADCAST_DELAY_MS);
@@ -174,21 +174,21 @@
 }
 
 void
-CrashNews_broadcast(CrashNews_t *this, const RequestDigest_t *digest)
+CrashUpdates_broadcast(CrashUpdates_t *this, const RequestDigest_t *digest)
 {
     g_hash_table_add(this->unsent, g_memdup2(digest, sizeof(*digest)));
     schedule_broadcast(this);
 }
 
 void
-CrashNews_broadcastAlive(CrashNews_t *this, guint64 crash)
+CrashUpdates_broadcastAlive(CrashUpdates_t *this, guint64 crash)
 {
     g_array_append_val(this->alive, crash);
     schedule_broadcast(this);
 }
 
 typedef struct {
-    CrashNews_t *news;
+    CrashUpdates_t *updates;
     Member_t *member;
     Batch_t *batch;
 } PeerSync_t;
@@ -199,7 +199,7 @@
     Wt__CrashNews body;
     Wt__PeerMessage message;
     make_message(sync->batch, NULL, &body, &message);
-    Membership_send(sync->news->membership, sync->member, &message);
+    Membership_send(sync->updates->membership, sync->member, &message);
     sync->batch->count = 0;
 }
 
@@ -214,18 +214,19 @@
 }
 
 static void
-send_complete(const CrashNews_t *this, Member_t *member)
+send_complete(const CrashUpdates_t *this, Member_t *member)
 {
-    Wt__CrashNews news = WT__CRASH_NEWS__INIT;
+    Wt__CrashNews body = WT__CRASH_NEWS__INIT;
     Wt__PeerMessage message = WT__PEER_MESSAGE__INIT;
-    news.complete = TRUE;
+    body.complete = TRUE;
     message.body_case = WT__PEER_MESSAGE__BODY_CRASH_NEWS;
-    message.crash_news = &news;
+    message.crash_news = &body;
     Membership_send(this->membership, member, &message);
 }
 
 void
-CrashNews_syncPeer(CrashNews_t *this, Member_t *member, gboolean records_known)
+CrashUpdates_syncPeer(CrashUpdates_t *this, Member_t *member,
+                      gboolean records_known)
 {
     g_autofree Batch_t *batch = g_new0(Batch_t, 1);
     PeerSync_t sync = {this, member, batch};
@@ -239,17 +240,17 @@
 }
 
 static void
-receive_fact(CrashNews_t *this, const Wt__CrashFact *fact, gboolean forward)
+receive_fact(CrashUpdates_t *this, const Wt__CrashFact *fact, gboolean forward)
 {
     gint64 at_ms = PeerAge_atMs(fact->age_ms);
-    CrashChange_t change = CrashNews_apply(this->table, fact, at_ms);
+    CrashChange_t change = CrashUpdates_apply(this->table, fact, at_ms);
     if (change == CRASH_UNCHANGED) {
         return;
     }
     RequestDigest_t digest;
     memcpy(digest.bytes, fact->digest.data, sizeof(digest.bytes));
     if (forward) {
-        CrashNews_broadcast(this, &digest);
+        CrashUpdates_broadcast(this, &digest);
     }
     this->events->changed(this->owner, &digest, change);
 }
@@ -257,13 +258,13 @@
 /* In a full mesh each peer receives the message from its sender, so nothing is
  * forwarded. */
 void
-CrashNews_receive(CrashNews_t *this, const Wt__CrashNews *message)
+CrashUpdates_receive(CrashUpdates_t *this, const Wt__CrashNews *message)
 {
     gboolean forward = !Membership_isMesh(this->membership);
     for (size_t i = 0; i < message->n_alive; i++) {
         guint64 crash = message->alive[i];
         if (CrashTable_retract(this->table, crash) && forward) {
-            CrashNews_broadcastAlive(this, crash);
+            CrashUpdates_broadcastAlive(this, crash);
         }
     }
     for (size_t i = 0; i < message->n_facts; i++) {
--- a/src/Exchange.c
+++ b/src/Exchange.c
@@ -379,8 +379,8 @@
             RetryBudget_hasRetry(this->context->budget, this->target->str),
         .time_left = Clock_nowMs() < this->deadline_ms,
     };
-    if (this->class->facts) {
-        this->class->facts(this, &input);
+    if (this->class->add_recovery_input) {
+        this->class->add_recovery_input(this, &input);
     }
     return input;
 }
@@ -390,8 +390,8 @@
 {
     RecoveryInput_t input = recovery_input(this, ATTEMPT_SILENT);
     input.sent = TRUE;
-    RecoveryDecision_t plan = Recovery_decide(&input);
-    return plan.action != RECOVERY_GIVE_UP;
+    RecoveryDecision_t decision = Recovery_decide(&input);
+    return decision.action != RECOVERY_GIVE_UP;
 }
 
 void
@@ -426,11 +426,11 @@
 Exchange_recover(Exchange_t *this, AttemptEnd_t end, const char *detail)
 {
     RecoveryInput_t input = recovery_input(this, end);
-    RecoveryDecision_t plan = Recovery_decide(&input);
-    ExchangeLog_recovery(this, &input, &plan);
-    if (plan.action == RECOVERY_GIVE_UP) {
+    RecoveryDecision_t decision = Recovery_decide(&input);
+    ExchangeLog_recovery(this, &input, &decision);
+    if (decision.action == RECOVERY_GIVE_UP) {
         abandon_stream(this);
-        Exchange_refuse(this, plan.refusal, plan.run, detail);
+        Exchange_refuse(this, decision.refusal, decision.run, detail);
         return;
     }
     if (!Recovery_isUnsent(end)) {
@@ -438,7 +438,7 @@
     }
     Context_countRetry(this->context, Recovery_endName(end), this->target->str,
                        this->customer_class->str);
-    if (plan.action == RECOVERY_RESUME) {
+    if (decision.action == RECOVERY_RESUME) {
         this->class->resume(this);
         return;
     }
@@ -527,8 +527,8 @@
 Exchange_runState(const Exchange_t *this)
 {
     RecoveryInput_t input = {.sent = this->sent};
-    if (this->class->facts) {
-        this->class->facts(this, &input);
+    if (this->class->add_recovery_input) {
+        this->class->add_recovery_input(this, &input);
     }
     if (input.tokens > 0) {
         return RUN_DONE;
--- a/src/ExchangeCapacity.c
+++ b/src/ExchangeCapacity.c
@@ -41,10 +41,10 @@
 }
 
 static void
-on_capacity(void *owner, UpstreamGateResult_t step)
+on_capacity(void *owner, UpstreamGateResult_t result)
 {
     Exchange_t *this = owner;
-    if (step == UPSTREAM_GATE_FULL) {
+    if (result == UPSTREAM_GATE_FULL) {
         place_after_full(this);
         return;
     }
@@ -61,12 +61,12 @@
         .done = on_capacity,
         .owner = this,
     };
-    UpstreamGateResult_t step =
+    UpstreamGateResult_t result =
         UpstreamGate_acquire(&this->upstream_gate, upstream, &spec);
-    if (step == UPSTREAM_GATE_FULL) {
+    if (result == UPSTREAM_GATE_FULL) {
         place_after_full(this);
     }
-    return step == UPSTREAM_GATE_OPEN;
+    return result == UPSTREAM_GATE_OPEN;
 }
 
 gboolean
--- a/src/ExchangeLog.c
+++ b/src/ExchangeLog.c
@@ -136,12 +136,12 @@
 
 void
 ExchangeLog_recovery(const Exchange_t *this, const RecoveryInput_t *input,
-                     const RecoveryDecision_t *plan)
+                     const RecoveryDecision_t *decision)
 {
     Log_begin(LOG_LEVEL_INFO, "attempt_failed");
     Log_text("request", this->id->str);
     Log_text("reason", Recovery_endName(input->end));
-    Log_text("next", Recovery_actionName(plan->action));
+    Log_text("next", Recovery_actionName(decision->action));
     if (this->avoid) {
         Log_text("upstream", this->avoid->name->str);
     }
--- a/src/ExchangeLog.h
+++ b/src/ExchangeLog.h
@@ -37,8 +37,8 @@
 void ExchangeLog_silentAttempt(const Exchange_t *this,
                                const RecoveryInput_t *input);
 
-/** ExchangeLog_recovery() - the step that follows a failed attempt */
+/** ExchangeLog_recovery() - log the decision that follows a failed attempt */
 void ExchangeLog_recovery(const Exchange_t *this, const RecoveryInput_t *input,
-                          const RecoveryDecision_t *plan);
+                          const RecoveryDecision_t *decision);
 
 #endif
--- a/src/ExchangeState.h
+++ b/src/ExchangeState.h
@@ -22,8 +22,8 @@
  * @drop: close the current attempt; returns whether its request may have been
  *     sent
  * @refuse: send a refusal, unless the caller has left
- * @facts: set the members of the recovery input that the derived type knows;
- *     may be NULL
+ * @add_recovery_input: set the members of the recovery input that the derived
+ *     type knows; may be NULL
  * @resume: request the remainder of the stream from the same upstream; may be
  *     NULL
  * @abandon: cancel the stream at the engine, as it is not resumed any more;
@@ -35,7 +35,7 @@
     void (*place)(Exchange_t *this);
     gboolean (*drop)(Exchange_t *this);
     void (*refuse)(Exchange_t *this, const RefusalNotice_t *notice);
-    void (*facts)(const Exchange_t *this, RecoveryInput_t *facts);
+    void (*add_recovery_input)(const Exchange_t *this, RecoveryInput_t *input);
     void (*resume)(Exchange_t *this);
     void (*abandon)(Exchange_t *this);
     void (*log_end)(const Exchange_t *this);
--- a/src/HintFlood.c
+++ b/src/HintBroadcast.c
@@ -1,4 +1,4 @@
-#include "HintFlood.h"
+#include "HintBroadcast.h"
 
 #include "Clock.h"
 
@@ -8,7 +8,7 @@
 /* Further hints of the same interval are dropped. */
 #define BATCH_HINTS_MAX 512
 
-struct HintFlood {
+struct HintBroadcast {
     Membership_t *membership;
     HintHandler_t handler;
     void *owner;
@@ -17,7 +17,7 @@
 };
 
 static void
-send_batch(const HintFlood_t *this)
+send_batch(const HintBroadcast_t *this)
 {
     Wt__Hint *hints = g_new(Wt__Hint, this->batch->len);
     Wt__Hint **list = g_new(Wt__Hint *, this->batch->len);
@@ -45,7 +45,7 @@
 {
     (void)fd;
     (void)what;
-    HintFlood_t *this = data;
+    HintBroadcast_t *this = data;
     if (this->batch->len > 0) {
         send_batch(this);
         g_array_set_size(this->batch, 0);
@@ -53,11 +53,11 @@
     Clock_arm(this->send_timer, SEND_INTERVAL_MS);
 }
 
-HintFlood_t *
-HintFlood_create(struct event_base *base, Membership_t *membership,
-                 HintHandler_t handler, void *owner)
+HintBroadcast_t *
+HintBroadcast_create(struct event_base *base, Membership_t *membership,
+                     HintHandler_t handler, void *owner)
 {
-    HintFlood_t *this = g_new0(HintFlood_t, 1);
+    HintBroadcast_t *this = g_new0(HintBroadcast_t, 1);
     this->membership = membership;
     this->handler = handler;
     this->owner = owner;
@@ -68,7 +68,7 @@
 }
 
 void
-HintFlood_destroy(HintFlood_t *this)
+HintBroadcast_destroy(HintBroadcast_t *this)
 {
     event_free(this->send_timer);
     g_array_unref(this->batch);
@@ -76,7 +76,7 @@
 }
 
 void
-HintFlood_broadcast(HintFlood_t *this, const Hint_t *hint)
+HintBroadcast_add(HintBroadcast_t *this, const Hint_t *hint)
 {
     if (this->batch->len < BATCH_HINTS_MAX) {
         g_array_append_val(this->batch, *hint);
@@ -85,14 +85,14 @@
 
 /* In a full mesh, each router receives hints from their source directly. */
 void
-HintFlood_receive(HintFlood_t *this, const Wt__Hints *message)
+HintBroadcast_receive(HintBroadcast_t *this, const Wt__Hints *message)
 {
     gboolean forward = !Membership_isMesh(this->membership);
     for (size_t i = 0; i < message->n_hints; i++) {
         Hint_t hint = {(HintKind_t)message->hints[i]->kind,
                        message->hints[i]->subject, message->hints[i]->value};
         if (this->handler(this->owner, &hint) && forward) {
-            HintFlood_broadcast(this, &hint);
+            HintBroadcast_add(this, &hint);
         }
     }
 }
--- a/src/HintFlood.h
+++ b/src/HintBroadcast.h
@@ -1,11 +1,11 @@
-#ifndef HEADER_HintFlood
-#define HEADER_HintFlood
+#ifndef HEADER_HintBroadcast
+#define HEADER_HintBroadcast
 /**
- * DOC: HintFlood
+ * DOC: HintBroadcast
  *
- * Floods short-lived hints to all routers within a few hundred milliseconds:
- * each router forwards the hints that are new to it, in batches over its
- * links. A lost hint costs time, never correctness.
+ * Broadcasts short-lived hints to all routers within a few hundred
+ * milliseconds: each router forwards the hints that are new to it, in batches
+ * over its links. A lost hint costs time, never correctness.
  */
 #include "Membership.h"
 
@@ -53,28 +53,28 @@
  */
 typedef gboolean (*HintHandler_t)(void *owner, const Hint_t *hint);
 
-/** struct HintFlood_t - opaque */
-typedef struct HintFlood HintFlood_t;
+/** struct HintBroadcast_t - opaque */
+typedef struct HintBroadcast HintBroadcast_t;
 
 /**
- * HintFlood_create() - start to broadcast hints
- * @membership: links to the peers; must outlive the HintFlood_t
+ * HintBroadcast_create() - start to broadcast hints
+ * @membership: links to the peers; must outlive the HintBroadcast_t
  * @handler: called for each hint from a peer
  * @owner: argument of @handler
  */
-HintFlood_t *HintFlood_create(struct event_base *base,
-                              Membership_t *membership, HintHandler_t handler,
-                              void *owner);
+HintBroadcast_t *HintBroadcast_create(struct event_base *base,
+                                      Membership_t *membership,
+                                      HintHandler_t handler, void *owner);
 
-/** HintFlood_destroy() - free it */
-void HintFlood_destroy(HintFlood_t *this);
+/** HintBroadcast_destroy() - free it */
+void HintBroadcast_destroy(HintBroadcast_t *this);
 
-/** HintFlood_broadcast() - queue a hint for the next batch; dropped if the
+/** HintBroadcast_add() - queue a hint for the next batch; dropped if the
  * batch is full */
-void HintFlood_broadcast(HintFlood_t *this, const Hint_t *hint);
+void HintBroadcast_add(HintBroadcast_t *this, const Hint_t *hint);
 
-/** HintFlood_receive() - handle a peer's message; forwards the hints that are
- * new to this router unless all routers are linked with each other */
-void HintFlood_receive(HintFlood_t *this, const Wt__Hints *message);
+/** HintBroadcast_receive() - handle a peer's message; forwards the hints that
+ * are new to this router unless all routers are linked with each other */
+void HintBroadcast_receive(HintBroadcast_t *this, const Wt__Hints *message);
 
 #endif
--- a/src/HomePolicy.c
+++ b/src/HomePolicy.c
@@ -115,7 +115,7 @@
 static guint64
 find_short_hash_limit(const Placement_t *placement)
 {
-    if (placement->short_share <= 0) {
+    if (placement->short_prompt_fraction <= 0) {
         return 0;
     }
     g_autoptr(GArray) hashes = g_array_new(FALSE, FALSE, sizeof(guint64));
@@ -126,7 +126,8 @@
         }
     }
     g_array_sort(hashes, compare_hashes);
-    guint count = (guint)(hashes->len * placement->short_share + 0.5);
+    guint count =
+        (guint)(hashes->len * placement->short_prompt_fraction + 0.5);
     guint count_max = hashes->len > 0 ? hashes->len - 1 : 0;
     return count_max > 0
                ? g_array_index(hashes, guint64, CLAMP(count, 1, count_max))
--- a/src/ManagedEngine.c
+++ b/src/ManagedEngine.c
@@ -122,7 +122,7 @@
 {
     Hint_t hint = {kind, this->upstream->hash, value};
     if (this->sender->hints) {
-        HintFlood_broadcast(this->sender->hints, &hint);
+        HintBroadcast_add(this->sender->hints, &hint);
     }
 }
 
--- a/src/ManagedEngine.h
+++ b/src/ManagedEngine.h
@@ -9,7 +9,7 @@
  * requests that it would refuse.
  */
 #include "Counters.h"
-#include "HintFlood.h"
+#include "HintBroadcast.h"
 #include "Lease.h"
 #include "Membership.h"
 #include "OrderForm.h"
@@ -34,7 +34,7 @@
     const OrderForm_t *form;
     Lease_t *lease;
     Membership_t *membership;
-    HintFlood_t *hints;
+    HintBroadcast_t *hints;
     UpstreamNotices_t *notices;
     Counters_t *counters;
     const char *holder;
--- a/src/Orders.h
+++ b/src/Orders.h
@@ -53,7 +53,7 @@
     void *wanted_data;
     UpstreamSet_t *upstreams;
     Membership_t *membership;
-    HintFlood_t *hints;
+    HintBroadcast_t *hints;
     UpstreamNotices_t *notices;
     Counters_t *counters;
 } OrdersSpec_t;
--- a/src/Policy.h
+++ b/src/Policy.h
@@ -36,7 +36,8 @@
  * @run_us: expected time from the first token to the end, 0 for unknown
  * @latest_us: longest wait for the first token that is still in time, 0 for
  *     any
- * @short_share: share of the engines that serve short prompts, 0 for none
+ * @short_prompt_fraction: share of the engines that serve short prompts, 0 for
+ * none
  * @warm_ms: longest idle time of a connection that the request may use
  * @avoid: upstream of the last attempt that failed, or NULL
  * @permitted: the only upstream that may be used, as its limit has admitted
@@ -70,7 +71,7 @@
     double store_us_per_token;
     gint64 run_us;
     gint64 latest_us;
-    double short_share;
+    double short_prompt_fraction;
     gint64 warm_ms;
     const Upstream_t *avoid;
     const Upstream_t *permitted;
--- a/src/RelayAttempt.c
+++ b/src/RelayAttempt.c
@@ -314,7 +314,7 @@
 }
 
 void
-RelayAttempt_hold(RelayAttempt_t *this, gboolean read_paused)
+RelayAttempt_setReadPaused(RelayAttempt_t *this, gboolean read_paused)
 {
     AttemptConnection_t *connection = &this->connection;
     if (connection->read_paused == read_paused || connection->closed) {
--- a/src/RelayAttempt.h
+++ b/src/RelayAttempt.h
@@ -103,8 +103,8 @@
 /** RelayAttempt_wasSent() - whether the upstream may have run the request */
 gboolean RelayAttempt_wasSent(const RelayAttempt_t *this);
 
-/** RelayAttempt_hold() - stop reading from the upstream, or resume; the
- * silence timeout does not run meanwhile */
-void RelayAttempt_hold(RelayAttempt_t *this, gboolean held);
+/** RelayAttempt_setReadPaused() - pause or resume reading from the upstream;
+ * the silence timeout does not run while reading is paused */
+void RelayAttempt_setReadPaused(RelayAttempt_t *this, gboolean read_paused);
 
 #endif
--- a/src/RelayExchange.c
+++ b/src/RelayExchange.c
@@ -151,7 +151,7 @@
     .place = place,
     .drop = drop,
     .refuse = refuse,
-    .facts = add_recovery_input,
+    .add_recovery_input = add_recovery_input,
     .log_end = log_end,
 };
 
@@ -175,7 +175,7 @@
 {
     RelayExchange_t *this = owner;
     if (this->attempt) {
-        RelayAttempt_hold(this->attempt, FALSE);
+        RelayAttempt_setReadPaused(this->attempt, FALSE);
     }
 }
 
--- a/src/RelayParts.c
+++ b/src/RelayParts.c
@@ -33,7 +33,7 @@
     Orders_t *orders;
     UpstreamProber_t *prober;
     LoadShare_t *load_share;
-    HintFlood_t *hints;
+    HintBroadcast_t *hints;
 };
 
 /* The model of an upstream is that of its service; an engine has one model. */
@@ -259,11 +259,11 @@
     this->context = context;
     context->routes = RouteTable_create();
     context->weights = ModelVersions_create();
-    this->hints =
-        HintFlood_create(context->base, context->membership, apply_hint, this);
+    this->hints = HintBroadcast_create(context->base, context->membership,
+                                       apply_hint, this);
     context->cache_store = CacheStore_create(this->hints);
     context->estimate_error = EstimateError_create();
-    context->pauses = EngineSplit_create();
+    context->engine_split = EngineSplit_create();
     context->run_times = RunTimes_create();
     context->speeds =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -329,9 +329,9 @@
     CacheStore_destroy(this->context->cache_store);
     g_hash_table_destroy(this->context->speeds);
     EstimateError_destroy(this->context->estimate_error);
-    EngineSplit_destroy(this->context->pauses);
+    EngineSplit_destroy(this->context->engine_split);
     RunTimes_destroy(this->context->run_times);
-    HintFlood_destroy(this->hints);
+    HintBroadcast_destroy(this->hints);
     RouteTable_destroy(this->context->routes);
     StoreEpoch_destroy(this->epoch);
     g_free(this);
@@ -403,7 +403,7 @@
 {
     switch (message->body_case) {
     case WT__PEER_MESSAGE__BODY_HINTS:
-        HintFlood_receive(this->hints, message->hints);
+        HintBroadcast_receive(this->hints, message->hints);
         break;
     case WT__PEER_MESSAGE__BODY_LOADS:
         LoadShare_receive(this->load_share, from->name->str, message->loads);
--- a/src/RelayPlacer.c
+++ b/src/RelayPlacer.c
@@ -76,7 +76,8 @@
         return;
     }
     update_store_halls(context, config);
-    placement->short_share = EngineSplit_shortPromptFraction(context->pauses);
+    placement->short_prompt_fraction =
+        EngineSplit_shortPromptFraction(context->engine_split);
     placement->cache_tokens = service->cache_tokens;
     placement->move_us_per_token =
         transfer_us_per_token(service->token_bytes, service->link_mbit);
@@ -271,7 +272,7 @@
         Salt_make(&salt_input, context->settings->keys.salt, out->salt);
         select_caches(context, out);
         Policy_commit(context->policy, &out->placement, &out->choice);
-        EngineSplit_noteWork(context->pauses,
+        EngineSplit_noteWork(context->engine_split,
                              PrefixSupply_isShort(&out->placement),
                              out->choice.own_us);
     }
--- a/src/RelayRun.c
+++ b/src/RelayRun.c
@@ -68,7 +68,7 @@
     RelayExchange_closeIfStopping(this);
     RelayAnswer_sendData(this->answer, this->outgoing);
     if (RelayAnswer_isFull(this->answer)) {
-        RelayAttempt_hold(this->attempt, TRUE);
+        RelayAttempt_setReadPaused(this->attempt, TRUE);
     }
 }
 
@@ -105,8 +105,8 @@
 {
     RelayExchange_closeIfStopping(this);
     if (this->is_stream) {
-        EngineSplit_noteStream(this->super.context->pauses, this->max_pause_us,
-                               this->route->pause_ms);
+        EngineSplit_noteStream(this->super.context->engine_split,
+                               this->max_pause_us, this->route->pause_ms);
         RunTimes_note(this->super.context->run_times, this->route->name->str,
                       Clock_nowUs() - this->super.started_us - this->first_us);
         EventPipe_flush(this->event_pipe, this->outgoing);
--- a/src/StreamExchange.c
+++ b/src/StreamExchange.c
@@ -91,17 +91,17 @@
 }
 
 static void
-fill_recovery_facts(const Exchange_t *super, RecoveryInput_t *facts)
+add_recovery_input(const Exchange_t *super, RecoveryInput_t *input)
 {
     const StreamExchange_t *this = (const StreamExchange_t *)super;
-    facts->was_resume = this->is_resume;
-    facts->progressed =
+    input->was_resume = this->is_resume;
+    input->progressed =
         super->attempt_trace && super->attempt_trace->tokens > 0;
-    facts->stream_known = this->stream.upstream != NULL;
-    facts->resumes = this->resumes;
-    facts->tokens = this->tokens;
-    facts->repeatable = super->repeatable && !this->resume_point;
-    facts->resume_only = this->resume_point != NULL;
+    input->stream_known = this->stream.upstream != NULL;
+    input->resumes = this->resumes;
+    input->tokens = this->tokens;
+    input->repeatable = super->repeatable && !this->resume_point;
+    input->resume_only = this->resume_point != NULL;
 }
 
 static void
@@ -432,7 +432,7 @@
     .place = place,
     .drop = drop,
     .refuse = refuse,
-    .facts = fill_recovery_facts,
+    .add_recovery_input = add_recovery_input,
     .resume = resume,
     .abandon = abandon,
     .log_end = log_end,
--- a/src/UpstreamListing.c
+++ b/src/UpstreamListing.c
@@ -173,7 +173,7 @@
     }
     Hint_t hint = {HINT_LOADED, upstream->hash,
                    (guint)Upstream_weightsVersion(upstream)};
-    HintFlood_broadcast(this->spec.hints, &hint);
+    HintBroadcast_add(this->spec.hints, &hint);
 }
 
 static gboolean
--- a/src/UpstreamListing.h
+++ b/src/UpstreamListing.h
@@ -11,7 +11,7 @@
  * itself only if its peers have sent nothing.
  */
 #include "HallRegions.h"
-#include "HintFlood.h"
+#include "HintBroadcast.h"
 #include "ListedUpstream.h"
 #include "Membership.h"
 #include "RecordSource.h"
@@ -42,7 +42,7 @@
     ListedUpstreamDecode_t decode;
     UpstreamSet_t *upstreams;
     Membership_t *membership;
-    HintFlood_t *hints;
+    HintBroadcast_t *hints;
     StoreEpoch_t *epoch;
     Counters_t *counters;
     const HallRegions_t *regions;
--- a/src/UpstreamProber.c
+++ b/src/UpstreamProber.c
@@ -60,7 +60,7 @@
 {
     Hint_t hint = {.kind = HINT_REACHABLE, .subject = probe->upstream->hash};
     if (Upstream_resolveSuspicion(probe->upstream)) {
-        HintFlood_broadcast(probe->owner->spec.hints, &hint);
+        HintBroadcast_add(probe->owner->spec.hints, &hint);
     }
 }
 
@@ -140,7 +140,7 @@
 {
     Hint_t hint = {.kind = HINT_UNREACHABLE, .subject = upstream->hash};
     if (Upstream_noteSuspicionReport(upstream, Clock_nowMs())) {
-        HintFlood_broadcast(this->spec.hints, &hint);
+        HintBroadcast_add(this->spec.hints, &hint);
     }
 }
 
--- a/src/UpstreamProber.h
+++ b/src/UpstreamProber.h
@@ -9,7 +9,7 @@
  * lowest ranks probe it as well and notify the others when it answers; the
  * others probe it only if they receive no such notification in time.
  */
-#include "HintFlood.h"
+#include "HintBroadcast.h"
 #include "RouteTable.h"
 #include "UpstreamNotices.h"
 
@@ -30,7 +30,7 @@
 typedef struct {
     UpstreamSet_t *upstreams;
     const RouteTable_t *routes;
-    HintFlood_t *hints;
+    HintBroadcast_t *hints;
     const Membership_t *membership;
     Counters_t *counters;
     UpstreamNotices_t *notices;
--- a/tests/test_CrashRecords.c
+++ b/tests/test_CrashRecords.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#include "CrashNews.h"
+#include "CrashUpdates.h"
 #include "Errors.h"
 #include "FakeSource.h"
 #include "testing.h"
--- a/tests/test_CrashNews.c
+++ b/tests/test_CrashUpdates.c
@@ -1,5 +1,5 @@
 /* Crashes reach the tables of all routers, in any order of messages. */
-#include "CrashNews.h"
+#include "CrashUpdates.h"
 
 #include <string.h>
 
@@ -17,7 +17,7 @@
 
 static FakeRouters_t routers;
 static CrashTable_t *table;
-static CrashNews_t *news;
+static CrashUpdates_t *updates;
 static guint quarantines;
 
 static void
@@ -28,7 +28,7 @@
     quarantines += change == CRASH_QUARANTINED ? 1 : 0;
 }
 
-static const CrashNewsEvents_t events = {.changed = on_changed};
+static const CrashUpdatesEvents_t events = {.changed = on_changed};
 
 static void
 begin(gint64 mesh)
@@ -36,14 +36,14 @@
     quarantines = 0;
     FakeRouters_init(&routers, 3, mesh);
     table = CrashTable_create();
-    news = CrashNews_create(routers.base, routers.list[0].membership, table,
-                            &events, NULL);
+    updates = CrashUpdates_create(routers.base, routers.list[0].membership,
+                                  table, &events, NULL);
 }
 
 static void
 end(void)
 {
-    CrashNews_destroy(news);
+    CrashUpdates_destroy(updates);
     CrashTable_destroy(table);
     FakeRouters_clear(&routers);
 }
@@ -59,7 +59,7 @@
 {
     CrashFact_t fact = fact_of(request, crash);
     CrashTable_add(table, &fact, Clock_nowMs());
-    CrashNews_broadcast(news, &fact.digest);
+    CrashUpdates_broadcast(updates, &fact.digest);
 }
 
 static guint
@@ -113,8 +113,8 @@
     Wt__CrashNews *message = copy_message(find_newest(1));
     end();
     begin(mesh);
-    CrashNews_receive(news, message);
-    CrashNews_receive(news, message);
+    CrashUpdates_receive(updates, message);
+    CrashUpdates_receive(updates, message);
     ck_assert_uint_eq(quarantines, 1);
     FakeRouters_run(&routers, BROADCASTS_MS);
     ck_assert_uint_eq(count_sent(1), forwarded);
@@ -142,7 +142,7 @@
         CrashTable_add(table, &fact, Clock_nowMs());
     }
     const GPtrArray *members = Membership_members(routers.list[0].membership);
-    CrashNews_syncPeer(news, g_ptr_array_index(members, 0), FALSE);
+    CrashUpdates_syncPeer(updates, g_ptr_array_index(members, 0), FALSE);
     FakeRouters_run(&routers, BROADCASTS_MS);
     ck_assert_uint_eq(count_sent(1) + count_sent(2), 1);
     ck_assert_uint_eq(find_newest(count_sent(1) > 0 ? 1 : 2)->n_facts, 5);
@@ -153,7 +153,7 @@
 START_TEST(retraction_is_sent_to_peers)
 {
     begin(MESH);
-    CrashNews_broadcastAlive(news, 11);
+    CrashUpdates_broadcastAlive(updates, 11);
     FakeRouters_run(&routers, BROADCASTS_MS);
     ck_assert_uint_eq(find_newest(1)->n_alive, 1);
     ck_assert_uint_eq(find_newest(1)->alive[0], 11);
@@ -193,7 +193,7 @@
     fact.digest.data = bytes;
     fact.digest.len = sizeof(bytes);
     CrashTable_t *empty = CrashTable_create();
-    ck_assert_int_eq(CrashNews_apply(empty, &fact, 0), CRASH_UNCHANGED);
+    ck_assert_int_eq(CrashUpdates_apply(empty, &fact, 0), CRASH_UNCHANGED);
     ck_assert_uint_eq(CrashTable_size(empty), 0);
     CrashTable_destroy(empty);
 }
@@ -207,8 +207,8 @@
     Wt__CrashFact fact;
     guint64 ids[CRASHES_PER_REQUEST_MAX];
     if (entry) {
-        CrashNews_encode(entry, &fact, ids);
-        CrashNews_apply(to, &fact, entry->last_ms);
+        CrashUpdates_encode(entry, &fact, ids);
+        CrashUpdates_apply(to, &fact, entry->last_ms);
     }
 }
 
--- a/tests/test_HomePolicy.c
+++ b/tests/test_HomePolicy.c
@@ -152,7 +152,7 @@
     g_autoptr(GHashTable) for_short = g_hash_table_new(NULL, NULL);
     for (guint64 key = 1; key < 100; key++) {
         Placement_t request = placement(key * KEY_MULTIPLIER, key);
-        request.short_share = 0.25;
+        request.short_prompt_fraction = 0.25;
         g_hash_table_add(for_long, Policy_choose(policy, &request).upstream);
         request.level_tokens[0] = 100;
         request.level_tokens[1] = 200;
--- a/tests/test_UpstreamProber.c
+++ b/tests/test_UpstreamProber.c
@@ -25,7 +25,7 @@
 
 static FakeRouters_t routers;
 static RouteTable_t *routes;
-static HintFlood_t *hints;
+static HintBroadcast_t *hints;
 static UpstreamProber_t *prober;
 static Upstream_t *upstream;
 static struct evhttp *server;
@@ -86,7 +86,7 @@
     Membership_t *membership = routers.list[local].membership;
     put_upstream();
     routes = RouteTable_create();
-    hints = HintFlood_create(routers.base, membership, receive_hint, NULL);
+    hints = HintBroadcast_create(routers.base, membership, receive_hint, NULL);
     UpstreamProberSpec_t spec = {.upstreams = routers.upstreams,
                                  .routes = routes,
                                  .hints = hints,
@@ -103,7 +103,7 @@
     if (prober) {
         UpstreamProber_destroy(prober);
     }
-    HintFlood_destroy(hints);
+    HintBroadcast_destroy(hints);
     RouteTable_destroy(routes);
     evhttp_free(server);
     FakeRouters_clear(&routers);
