--- a/src/EngineQueue.h
+++ b/src/EngineQueue.h
@@ -7,10 +7,10 @@
  *
  * It is meant for engines that run as many requests as they have slots, as
  * after the loss of a quarter of the engines. The requests that wait there
- * have few tokens to compute, so that an estimate by tokens hardly tells such
- * an engine from an idle one, and first tokens reveal the queue only once they
- * are late: engines of one fleet had median first tokens of 43 ms and of 3.7 s
- * in the same second.
+ * have few tokens to compute, so that an estimate by tokens hardly
+ * distinguishes such an engine from an idle one, and first tokens reveal the
+ * queue only once they are late: the median first tokens of two engines can
+ * differ by a factor of more than 80.
  *
  * With all slots taken, a slot becomes free on average once in the time that
  * one request runs, divided by the number of slots. The run time is learned
--- a/src/HomePolicy.c
+++ b/src/HomePolicy.c
@@ -15,13 +15,13 @@
 /* Points of the ring that are visited to find usable engines. */
 #define RING_POINTS_MAX 256
 /* Penalty of any engine but the home: about the time to transfer a long
- * prefix. 10 and 40 ms gave worse results (docs/MEASUREMENTS.md). */
+ * prefix. A lower penalty spreads prefixes over more engines, a higher one
+ * lengthens the queue at the home. */
 #define SPILL_COST_US 20000
 /* Penalty of an engine reserved for prompts of the other length. Prefills of
  * long prompts stall the streams of short ones, and a stream that stalls is as
- * late as one that begins late. With 100 ms, 179 of 425 streams stalled for
- * too long, with 300 ms 94 of 433 (34 s of low load, engines at 0.73 of the
- * usual speed). */
+ * late as one that begins late. With a penalty of 100 ms, about twice as many
+ * streams stalled for too long on slow engines. */
 #define OTHER_LENGTH_COST_US 300000
 /* Penalty of an engine without the newest weights. It applies once these have
  * been named for longer than OLD_WEIGHTS_GRACE_MS: until then answers on the
@@ -206,8 +206,9 @@
 }
 
 /* Adds the other engines of the home's group, whose requests are all placed by
- * one router. A prefix that is worth a transfer gets only as many candidates
- * as on the ring, as otherwise all engines of the group would cache it. */
+ * one router. A prefix that is long enough for a transfer gets only as many
+ * candidates as on the ring, as otherwise all engines of the group would cache
+ * it. */
 static void
 add_group_members(CandidateSet_t *candidates)
 {
--- a/src/LoadShed.c
+++ b/src/LoadShed.c
@@ -78,8 +78,8 @@
 
 /* Keeps the queue short enough for a new request to meet the objective. A
  * retry of a shed request follows the same rule: admitting retries to any
- * queue that they had time for lowered the value of days of high load from
- * 0.49 to 0.36 (mean of 16 runs each). */
+ * queue that they have time for lowers the total value of the answers under
+ * high load. */
 static gboolean
 is_admitted(const LoadShedInput_t *input)
 {
--- a/src/StreamMover.h
+++ b/src/StreamMover.h
@@ -15,8 +15,8 @@
 #include "RetryBudget.h"
 
 /** Time for which a stream may end by itself after its engine has paused, in
- * ms; the order to load follows the pause by 300 to 450 ms
- * (docs/MEASUREMENTS.md) */
+ * ms; shorter than the 300 to 450 ms after which the order to load follows the
+ * pause */
 #define MOVE_DELAY_MS 250
 
 /** Minimum number of other usable engines for a move */
