--- a/src/CacheStore.h
+++ b/src/CacheStore.h
@@ -3,11 +3,11 @@
 /**
  * DOC: CacheStore
  *
- * Tracks which prefixes the store of cached prefixes beside the engines should
- * hold. A request asks its engine to save a shared prefix to the store if the
- * store is not known to hold the prefix, and to fetch it from there otherwise.
- * Routers send each other hints of what was saved. A wrong entry costs only
- * time: an engine computes what it does not find.
+ * Tracks which prefixes the shared store of cached prefixes should hold. A
+ * request asks its engine to save a shared prefix to the store if the store is
+ * not known to hold the prefix, and to fetch it from there otherwise. Routers
+ * send each other hints of what was saved. A wrong entry costs only time: an
+ * engine computes what it does not find.
  */
 #include <glib.h>
 
--- a/src/EngineMemory.h
+++ b/src/EngineMemory.h
@@ -4,9 +4,9 @@
  * DOC: EngineMemory
  *
  * Estimates whether an engine's cache still holds a prefix. An engine evicts
- * what was used longest ago, so that a prefix is gone once more tokens have
- * been inserted since its last use than the cache can hold beside the running
- * requests.
+ * what was used longest ago, so that a prefix is evicted once more tokens
+ * have been inserted since its last use than the cache can hold in addition to
+ * those of the running requests.
  */
 #include <glib.h>
 
--- a/src/EngineSplit.h
+++ b/src/EngineSplit.h
@@ -30,8 +30,8 @@
 
 /**
  * EngineSplit_noteWork() - record that a request was placed
- * @is_short: whether the shared part of its prompt is too short to be worth
- *     moving between engines
+ * @is_short: whether the shared part of its prompt is too short for a
+ *     transfer between engines
  * @work_us: time to compute the prompt
  */
 void EngineSplit_noteWork(EngineSplit_t *this, gboolean is_short,
--- a/src/HttpCall.h
+++ b/src/HttpCall.h
@@ -4,8 +4,8 @@
  * DOC: HttpCall
  *
  * One HTTP request with a complete answer, on its own connection. It is never
- * retried automatically. The error code tells whether the request may have had
- * an effect: WT_ERROR_CONNECT means that no byte was sent.
+ * retried automatically. The error code states whether the request may have
+ * had an effect: WT_ERROR_CONNECT means that no byte was sent.
  */
 #include <event2/event.h>
 #include <event2/http.h>
--- a/src/LeaseRank.h
+++ b/src/LeaseRank.h
@@ -6,8 +6,8 @@
  * Selects the routers that may take the lease of the orders when its holder
  * has departed. All routers compute the same ranks. A higher-ranked router may
  * be cut off from the store without knowing or reporting it, so each candidate
- * waits only as long as a lease taken by a router before it needs to become
- * visible. There are enough candidates that an outage of a third of the
+ * waits only for the time after which a lease of a higher-ranked router would
+ * be visible. There are enough candidates that an outage of a third of the
  * routers leaves at least one of them.
  */
 #include <glib.h>
--- a/src/LocalShare.h
+++ b/src/LocalShare.h
@@ -13,8 +13,8 @@
  * For a customer whose limit was exhausted, only the divided limit applies,
  * and a request larger than what is left of the share is refused: when 30
  * routers were cut off at once and each admitted one request beyond its share,
- * a customer with a limit of 27 requests per second got more than a second's
- * worth on top.
+ * a customer with a limit of 27 requests per second got more than 27 requests
+ * beyond it.
  */
 #include "TokenBucket.h"
 
--- a/src/Policy.h
+++ b/src/Policy.h
@@ -29,7 +29,7 @@
  *     resort; 0 for any
  * @newest_weights: version that is preferred, or NULL
  * @newest_age_ms: time since the newest version was named
- * @cache_store: store of cached prefixes beside the engines, or NULL
+ * @cache_store: shared store of cached prefixes, or NULL
  * @cache_tokens: capacity of an engine's cache, 0 for unknown
  * @move_us_per_token: transfer time over an engine's link, 0 for unknown
  * @store_us_per_token: transfer time over the store's link, 0 for unknown
--- a/src/PrefixSupply.h
+++ b/src/PrefixSupply.h
@@ -12,8 +12,8 @@
 #include "Policy.h"
 #include "Residency.h"
 
-/** Tokens of the shortest shared prefix that is worth a transfer: a shorter
- * one is computed faster */
+/** Tokens of the shortest shared prefix that is transferred: a shorter one is
+ * computed faster */
 #define PREFIX_SUPPLY_TOKENS_MIN 1000
 
 /** Weight of the time to compute the shared part against the time to transfer
--- a/src/RateCountTable.c
+++ b/src/RateCountTable.c
@@ -92,7 +92,7 @@
 /* Routers learn of a changed limit at different times; the newest version
  * applies. A raised limit adds the increase of the depth to the level at once.
  * Otherwise calls would be refused until the debt under the lower limit is
- * paid, although callers are told of the higher limit. */
+ * paid, although callers are informed of the higher limit. */
 static void
 set_limit(const RateCountTable_t *this, Count_t *count,
           const RateLimit_t *limit, gint64 now_ms)
--- a/src/RateCountTable.h
+++ b/src/RateCountTable.h
@@ -9,7 +9,7 @@
  *
  * The table handles a subject that sends many times its limit, spread over all
  * routers. Each router sees a small part of that load, so that only one common
- * count can tell that it exceeds the limit. The excess has to be refused
+ * count can detect that it exceeds the limit. The excess has to be refused
  * before it waits in any queue, where it would delay the requests of other
  * subjects.
  *
--- a/src/RatePeers.h
+++ b/src/RatePeers.h
@@ -11,7 +11,7 @@
  * settings as the list of routers, since the seeds are the same on all
  * routers. Otherwise each of 90 routers that start at once would keep a count
  * of its own until the membership has converged: a customer at three times its
- * limit got 1.2 s worth of its rate on top of the limit.
+ * limit got 1.2 s of its rate beyond the limit.
  */
 #include "Membership.h"
 #include "PeerDatagrams.h"
--- a/src/RateStates.h
+++ b/src/RateStates.h
@@ -6,8 +6,8 @@
  * What this router knows of each subject of a limit: the last reply of the
  * router that keeps the subject's count (RateKeeper.h), and what this router
  * has admitted since. The state of a subject is removed a minute after its
- * last use, since upstreams come and go under new names for as long as a
- * router runs.
+ * last use, since upstreams depart and others join under new names for
+ * as long as a router runs.
  */
 #include "LocalShare.h"
 #include "RateLimits.h"
--- a/src/RelayAnswer.c
+++ b/src/RelayAnswer.c
@@ -222,7 +222,7 @@
     return this->full;
 }
 
-/* 503 tells the caller that the request did not run; 502 and 504 leave that
+/* 503 states that the request did not run; 502 and 504 leave that
  * open. */
 static int
 select_status(const RefusalSpec_t *spec, RunState_t run)
--- a/src/RelayDispatch.h
+++ b/src/RelayDispatch.h
@@ -26,7 +26,8 @@
  * @refusal: set to the reason if not
  *
  * Return: FALSE if the caller left, the request is quarantined, its key was
- * revoked since it was admitted, or the configuration is too old to tell
+ * revoked since it was admitted, or the configuration is too old to decide
+ * this
  */
 gboolean RelayDispatch_isAllowed(const RelayExchange_t *this,
                                  Refusal_t *refusal);
--- a/src/RelayExchangeState.h
+++ b/src/RelayExchangeState.h
@@ -56,7 +56,7 @@
  * @run_events: callbacks about the attempts
  * @attempt: attempt under way, or NULL
  * @feedback: observations about the attempt's upstream
- * @move: move to another engine, under way beside @attempt, or NULL
+ * @move: move to another engine, in parallel to @attempt, or NULL
  * @query: query to the dispatcher under way, or NULL
  * @ticket: dispatcher's ticket of the attempt
  * @event_pipe: events of a stream; NULL for a route without streams
@@ -106,14 +106,14 @@
 RelayPlacementInput_t
 RelayExchange_placementInput(const RelayExchange_t *this);
 
-/** RelayExchange_endTicket() - tell the dispatcher to stop counting the
+/** RelayExchange_endTicket() - notify the dispatcher to stop counting the
  * request; may be called again */
 void RelayExchange_endTicket(RelayExchange_t *this);
 
 /** RelayExchange_closeIfStopping() - close the caller's connection after the
- * answer if the router is stopping, so that the caller reconnects elsewhere.
- * Called just before the head is sent, as the router may begin to stop while
- * the request runs. */
+ * answer if the router is stopping, so that the caller reconnects to another
+ * router. Called just before the head is sent, as the router may begin to stop
+ * while the request runs. */
 void RelayExchange_closeIfStopping(const RelayExchange_t *this);
 
 #endif
--- a/src/RelayMove.c
+++ b/src/RelayMove.c
@@ -122,8 +122,8 @@
     free_move(this);
 }
 
-/* Makes the move's attempt that of the exchange, whose previous one must have
- * ended, and frees the move. */
+/* Replaces the exchange's attempt, which must have ended, by the move's
+ * attempt and frees the move. */
 static void
 adopt_attempt(RelayMove_t *this)
 {
--- a/src/RelayParts.c
+++ b/src/RelayParts.c
@@ -176,8 +176,8 @@
     context->crashes = CrashGuard_create(context->base, &crashes);
 }
 
-/* Ignores further suspicions for a while: the first one starts a probe, which
- * tells more than a second report of the same suspicion. */
+/* Ignores further suspicions for a while: the first one starts a probe, whose
+ * result is better evidence than a second report of the same suspicion. */
 static gboolean
 apply_suspicion(Upstream_t *upstream, gint64 now_ms)
 {
--- a/src/RelayPlacer.c
+++ b/src/RelayPlacer.c
@@ -169,9 +169,9 @@
     }
 }
 
-/* Names a source even if the engine should hold the prefix or nobody is known
- * to: this router's knowledge may be out of date, a miss costs a millisecond,
- * and the store may have the beginning of a new prefix. */
+/* Names a source even if the engine should hold the prefix or no source is
+ * known to hold it: this router's knowledge may be out of date, a miss costs a
+ * millisecond, and the store may have the beginning of a new prefix. */
 static void
 select_fetch_source(const RouteKvStore_t *store, RelayDestination_t *out)
 {
--- a/src/RouteSync.c
+++ b/src/RouteSync.c
@@ -204,8 +204,8 @@
     }
 }
 
-/* Tells the follower that the topic has no records after @end, so that it need
- * not read for them. */
+/* Notifies the follower that the topic has no records after @end, so that it
+ * need not read for them. */
 static void
 apply_peer_end(RouteSync_t *this, StorePosition_t end, gint64 at_ms)
 {
--- a/src/StreamExchange.c
+++ b/src/StreamExchange.c
@@ -116,7 +116,7 @@
 
 /* The engine continues the stream during the grace period, so that the caller
  * may resume it at any router. The engine ignores the cancel of this router if
- * the stream was resumed elsewhere. */
+ * the stream was resumed at another router. */
 static void
 on_caller_left(void *owner)
 {
--- a/src/TokenBucket.h
+++ b/src/TokenBucket.h
@@ -11,9 +11,9 @@
  * span of time the bucket admits at most the rate times the span, plus the
  * depth, plus one request.
  *
- * A refused request is told when to retry. Its time lies after those of the
- * requests refused before it, since they will retry as well. If all refused
- * requests were given the same time, all but the first would be refused again.
+ * A refusal states when to retry. The time lies after those of the requests
+ * refused before, since they will retry as well. If all refused requests were
+ * given the same time, all but the first would be refused again.
  */
 #include <glib.h>
 
@@ -65,8 +65,8 @@
 /** TokenBucket_take() - admit a request; FALSE if the bucket is empty */
 gboolean TokenBucket_take(TokenBucket_t *this, double units, gint64 now_ms);
 
-/** TokenBucket_charge() - subtract units that were admitted elsewhere; may put
- * the bucket into debt */
+/** TokenBucket_charge() - subtract units that a router has already admitted;
+ * may put the bucket into debt */
 void TokenBucket_charge(TokenBucket_t *this, double units, gint64 now_ms);
 
 /** TokenBucket_refund() - return units that were taken and not used */
--- a/src/UpstreamGate.h
+++ b/src/UpstreamGate.h
@@ -3,7 +3,7 @@
 /**
  * DOC: UpstreamGate
  *
- * One request's passage through the rate limits that upstreams advertise.
+ * Applies the rate limits that upstreams advertise to one request.
  * Each attempt, whether first, retry or resume, needs capacity of the rate
  * limit (RateLimits.h) before it is sent to such an upstream. Unused capacity
  * is refunded.
@@ -35,14 +35,14 @@
  * struct UpstreamGate_t - state of one request; zeroed before first use
  * @limits: is notified of refusals
  * @request_id: id of the request; the text belongs to the request
- * @rate: passage through the rate limit of @upstream
+ * @rate: state of the request at the rate limit of @upstream
  * @subject: subject of the rate limit; names @upstream and its incarnation
  * @upstream: upstream whose capacity is requested or acquired, or NULL; holds
  *     a reference
  * @full: last upstream that had no capacity, or NULL; holds a reference
  * @refusals: number of refusals for lack of capacity
- * @answered: the verdict came, or UpstreamGate_acquire() has returned; a
- *     verdict after that is passed to @done
+ * @answered: the result is known, or UpstreamGate_acquire() has returned; a
+ *     result after that is passed to @done
  * @has_capacity: capacity for one attempt at @upstream is acquired
  * @done: called with a result that comes later
  * @owner: first argument of @done
--- a/tests/test_Replay.c
+++ b/tests/test_Replay.c
@@ -7,7 +7,7 @@
 
 /* The load of the worst hour, on fewer engines so that it takes no second:
  * engines run all requests that they have slots for, and a quarter of them is
- * gone for most of the time. */
+ * down for most of the time. */
 #define WORST                                                                 \
     "[fleet]\nduration = 8s\nengines = 48\ngroups = 4\nslots = 16\n"          \
     "cache_tokens = 90597\nprompt_tokens_ms = 57\nstep_us = 3090\n"           \
@@ -44,9 +44,9 @@
     return spec;
 }
 
-/* Mean worth of a few seeds. */
+/* Mean value over seeds 1 to SEEDS. */
 static double
-worth(const char *text, guint decisions)
+mean_value(const char *text, guint decisions)
 {
     double sum = 0;
     for (guint seed = 1; seed <= SEEDS; seed++) {
@@ -62,8 +62,8 @@
 static double
 loss_without(const char *text, guint decision)
 {
-    double with = worth(text, REPLAY_ALL);
-    double without = worth(text, REPLAY_ALL & ~decision);
+    double with = mean_value(text, REPLAY_ALL);
+    double without = mean_value(text, REPLAY_ALL & ~decision);
     g_print("worth %.3f, without %.3f\n", with, without);
     return with - without;
 }
--- a/tests/test_TokenBucket.c
+++ b/tests/test_TokenBucket.c
@@ -60,7 +60,7 @@
 }
 END_TEST
 
-/* Requests refused at the same moment are told to retry one after the other.
+/* Requests refused at the same time get different retry times.
  */
 START_TEST(refused_requests_get_increasing_retry_times)
 {
--- a/tests/test_UpstreamGate.c
+++ b/tests/test_UpstreamGate.c
@@ -200,7 +200,7 @@
 }
 END_TEST
 
-/* Callers that are told to retry at the same time would all be refused
+/* Callers with the same retry time would all be refused
  * again. */
 START_TEST(refused_requests_retry_at_different_times)
 {
--- a/tests/test_UpstreamListing.c
+++ b/tests/test_UpstreamListing.c
@@ -331,7 +331,7 @@
 /* An upstream that crashed and restarted with the same name and address was
  * assumed to retain its memory, stayed ejected, and the results of its orders
  * were ignored, as only its name identified it. Its entry's incarnation now
- * tells the starts apart. */
+ * distinguishes the starts. */
 START_TEST(a_restarted_upstream_loses_the_state_of_its_former_incarnation)
 {
     UpstreamListing_t *listing = begin();
