--- a/src/CacheStore.h
+++ b/src/CacheStore.h
@@ -3,15 +3,15 @@
 /**
  * DOC: CacheStore
  *
- * Tracks which prefixes the store of cached prefixes beside the engines should
- * hold. A request asks its engine to save a shared prefix to the store if the
- * store is not known to hold the prefix, and to fetch it from there otherwise.
- * Routers send each other hints of what was saved. A wrong entry costs only
- * time: an engine computes what it does not find.
+ * Tracks which prefixes the shared store of cached prefixes should hold. A
+ * request asks its engine to save a shared prefix to the store if the store is
+ * not known to hold the prefix, and to fetch it from there otherwise. Routers
+ * send each other hints of what was saved. A wrong entry costs only time: an
+ * engine computes what it does not find.
  */
 #include <glib.h>
 
-#include "HintFlood.h"
+#include "HintBroadcast.h"
 #include "TransferLink.h"
 
 /** struct CacheStore_t - opaque */
@@ -21,7 +21,7 @@
  * CacheStore_create() - a store that is not known to hold any prefix
  * @hints: sends what was saved to the other routers; must outlive it
  */
-CacheStore_t *CacheStore_create(HintFlood_t *hints);
+CacheStore_t *CacheStore_create(HintBroadcast_t *hints);
 
 /** CacheStore_destroy() - free it */
 void CacheStore_destroy(CacheStore_t *this);
