--- a/tests/sessions/test_attempts.py
+++ b/tests/sessions/test_attempts.py
@@ -1,4 +1,4 @@
-"""Streams and calls that were under way when another attempt was wanted."""
+"""Further attempts of streams and calls that are already under way."""
 import signal
 import socket
 import threading
@@ -15,48 +15,47 @@
            b"Connection: close\r\n\r\n")
 
 
-def read_all(raw, silence_s):
-    """What comes until the end, or until nothing came for so long."""
-    raw.settimeout(silence_s)
-    got = b""
+def read_all(sock, silence_s):
+    """Reads until end of file, a reset, or silence_s without data."""
+    sock.settimeout(silence_s)
+    received = b""
     try:
         while True:
-            piece = raw.recv(1 << 20)
-            if not piece:
-                return got
-            got += piece
+            chunk = sock.recv(1 << 20)
+            if not chunk:
+                return received
+            received += chunk
     except (ConnectionResetError, socket.timeout):
-        return got
+        return received
 
 
-def name_weights(fleet):
+def declare_new_weights(fleet):
     fleet.store.put("keyed.op", "version/m", {"model": "m", "version": 2})
 
 
 class RestRefusedTest(test_fleet.FleetTest):
-    """Symptom: a caller reads the head of a second answer in the middle of
-    the first one.
-    Sequence: a stream breaks after some events; the engine that is asked for
-    the rest answers with a status of 4xx.
-    Cause: such an answer was passed on whole, without a look at what the
-    caller has already.
-    Settled by: the bytes that the caller reads hold two status lines.
+    """A caller received the head of a second answer inside the first one.
+
+    A stream breaks after some events, and the engine that is asked to resume
+    it answers with status 4xx. The router relayed that answer in full,
+    without checking what the caller had already received, so the caller read
+    two status lines.
     """
 
     def test_no_second_head_in_a_stream(self):
         for engine in (self.fleet.engine("e1"), self.fleet.engine("e2")):
             engine.cut_after = 3
-            engine.stream = self.refusing_rests(engine.stream)
+            engine.stream = self.refuse_resumes(engine.stream)
         router = self.fleet.start()
         self.wait_listed(router, 2)
-        with socket.create_connection(("127.0.0.1", router.port)) as raw:
-            raw.sendall(REQUEST)
-            got = read_all(raw, 10)
-        self.assertIn(b"piece-2", got)
-        self.assertEqual(got.count(b"HTTP/1.1 "), 1, got)
-        self.assertNotIn(b"no such stream", got)
-
-    def refusing_rests(self, stream):
+        with socket.create_connection(("127.0.0.1", router.port)) as sock:
+            sock.sendall(REQUEST)
+            received = read_all(sock, 10)
+        self.assertIn(b"piece-2", received)
+        self.assertEqual(received.count(b"HTTP/1.1 "), 1, received)
+        self.assertNotIn(b"no such stream", received)
+
+    def refuse_resumes(self, stream):
         def refuse_or_stream(call, headers):
             if "Last-Event-Id" in call.headers:
                 call.reply(409, b"no such stream", **headers)
@@ -66,44 +65,44 @@
 
 
 class HeldMoveTest(test_fleet.FleetTest):
-    """Symptom: a caller that reads slowly gets nothing more, though it reads
-    on and the engine has more.
-    Sequence: the stream is held back as too much waits for the caller; it is
-    moved; the caller reads a part; the next engine's first event finds less
-    waiting than makes a stream wait, and the stream is held back again.
-    Cause: that event was sent without asking to be told when all is read, so
-    that nobody was told and the hold stayed.
-    Settled by: the caller reads all that the router had, and then nothing,
-    while the next engine is held in the middle of a piece.
+    """A slow caller received nothing more from a stream that was moved.
+
+    The router stops reading from the engine while too much data waits for the
+    caller; then it moves the stream. The caller reads a part, so at the next
+    engine's first event less data waits than makes the router stop reading,
+    but soon enough waits again. The router relayed that event without asking
+    to be notified when the caller has read all data, so it never resumed
+    reading: the caller got what the router had buffered and then nothing,
+    while the next engine was blocked in the middle of an event.
     """
 
     PIECE = b"x" * 40000
     PIECES = 500
-    BUFFER = 4 << 20  # more than the system lets go of at once
+    BUFFER = 4 << 20  # exceeds what the kernel's socket buffers take
 
     def test_a_stream_that_is_held_back_goes_on_when_it_is_moved(self):
-        engines = [self.big_engine("e%d" % i) for i in range(4)]
+        engines = [self.large_event_engine("e%d" % i) for i in range(4)]
         router = self.fleet.start(stream_buffer="%dB" % self.BUFFER,
                                   token_timeout="60s")
         self.wait_listed(router, len(engines))
-        raw = self.connect(router)
+        sock = self.connect(router)
         first = wait_for(lambda: [e for e in engines
                                   if e.gate.reached.is_set()], "it runs")[0]
         first.gate.open(self.PIECES)
-        self.wait_held(first)
-        name_weights(self.fleet)
+        self.wait_engine_blocked(first)
+        declare_new_weights(self.fleet)
         second = wait_for(lambda: [e for e in engines
                                    if e is not first and e.seen],
                           "another engine is asked")[0]
-        self.read(raw, self.BUFFER // 2)
+        self.read_bytes(sock, self.BUFFER // 2)
         second.gate.open(self.PIECES)
         router.wait_event("stream_moved")
-        self.assertTrue(read_all(raw, 5).endswith(b"0\r\n\r\n"))
+        self.assertTrue(read_all(sock, 5).endswith(b"0\r\n\r\n"))
 
-    def big_engine(self, name):
+    def large_event_engine(self, name):
         engine = self.fleet.engine(name)
         engine.gate = Gate()
-        engine.queued = 1   # so that its order waits for a while
+        engine.queued = 1   # delays the order to load weights
         engine.sent = 0
         engine.stream = lambda call, headers: self.stream(engine, call,
                                                           headers)
@@ -116,45 +115,45 @@
         call.send_header("Transfer-Encoding", "chunked")
         call.end_headers()
         last = int(call.headers.get("Last-Event-Id", -1))
-        for place in range(last + 1, self.PIECES):
+        for event_id in range(last + 1, self.PIECES):
             engine.gate.wait(60)
-            piece = b"id: %d\ndata: %s\n\n" % (place, self.PIECE)
-            call.wfile.write(b"%x\r\n%s\r\n" % (len(piece), piece))
+            chunk = b"id: %d\ndata: %s\n\n" % (event_id, self.PIECE)
+            call.wfile.write(b"%x\r\n%s\r\n" % (len(chunk), chunk))
             engine.sent += 1
         call.wfile.write(b"0\r\n\r\n")
 
     def connect(self, router):
-        raw = socket.socket()
-        self.addCleanup(raw.close)
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-        raw.connect(("127.0.0.1", router.port))
-        raw.sendall(REQUEST)
-        return raw
-
-    def wait_held(self, engine):
-        """All buffers on the way are full: it sends nothing more."""
+        sock = socket.socket()
+        self.addCleanup(sock.close)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
+        sock.connect(("127.0.0.1", router.port))
+        sock.sendall(REQUEST)
+        return sock
+
+    def wait_engine_blocked(self, engine):
+        """Waits until full buffers keep the engine from sending more."""
         sent = -1
         while sent != engine.sent:
             sent = engine.sent
             time.sleep(0.5)
         self.assertLess(sent, self.PIECES)
 
-    def read(self, raw, size):
+    def read_bytes(self, sock, size):
         while size > 0:
-            size -= len(raw.recv(65536))
+            size -= len(sock.recv(65536))
 
 
 class RefusedNextTest(test_fleet.SilentStreamTest):
-    """Symptom: a stream ends in the middle although its engine goes on.
-    Sequence: the engine pauses for longer than token_timeout and its state is
-    not told; the attempt is given up; all others refuse the rest as not run.
-    Cause: that another engine may be asked is no promise that one takes the
-    rest.
-    Settled by: attempt_failed with reason=silent, then only reason=not_run to
+    """A stream was cut although its engine went on to send more events.
+
+    The engine pauses for longer than token_timeout and does not report its
+    state. The router gave up the attempt because other engines could be
+    asked, but all of them refused the remainder as not run. The log shows
+    attempt_failed with reason=silent, then only reason=not_run up to
     next=give_up, and request_refused with reason=stream_cut.
     """
 
-    def test_a_stream_waits(self):
+    def test_a_silent_stream_waits_when_others_refuse_the_remainder(self):
         self.start_stream("/ask/x", token_timeout="100ms")
         for engine in self.others:
             engine.shed = True
@@ -166,19 +165,17 @@
 
 
 class MoveTriesTest(test_fleet.StreamTest):
-    """Symptom: a request ran at three engines where its route allows two
-    attempts.
-    Sequence: a stream is to move; the next engine has the request and says
-    nothing in time, so that the stream stays; then its engine breaks, and it
-    goes on at a third one.
-    Cause: a move that is taken back is counted as no attempt, though it may
-    have run.
-    Settled by: three engines have seen the request.
+    """A request ran at three engines though its route allows two attempts.
+
+    The next engine of a move receives the request and stays silent past
+    move_wait, so the stream stays; then its own engine breaks and a third
+    engine continues it. The abandoned move was not counted as an attempt,
+    although it may have run.
     """
 
     def test_a_move_that_may_have_run_counts_as_an_attempt(self):
         self.start_stream("/ask/x", move_wait="50ms")
-        name_weights(self.fleet)
+        declare_new_weights(self.fleet)
         stays = self.router.wait_event("stream_stays")[0]
         self.assertEqual(stays["reason"], "silent")
         for engine in self.others:
@@ -190,18 +187,16 @@
 
 
 class NotBegunTest(test_fleet.FleetTest):
-    """Symptom: a request is refused although its upstream answers long before
-    its deadline.
-    Sequence: the only upstream says nothing for longer than
-    first_token_timeout, and its state is not told; the attempt is given up;
-    there is nothing else to ask.
-    Cause: whether anything may follow is asked first only where an answer has
-    begun.
-    Settled by: attempt_failed with reason=silent and next=elsewhere, and in
-    the same millisecond request_refused with reason=no_upstream.
+    """A request was refused long before its deadline, without waiting.
+
+    The only upstream is silent for longer than first_token_timeout and does
+    not report its state. The router checked for another upstream before
+    giving up an attempt only if the answer had begun. The log shows
+    attempt_failed with reason=silent and next=elsewhere, and in the same
+    millisecond request_refused with reason=no_upstream.
     """
 
-    def ask_silent(self, upstream, path):
+    def request_silent_upstream(self, upstream, path):
         router = self.fleet.start(first_token_timeout="200ms")
         self.wait_listed(router, 1)
         answers = []
@@ -220,21 +215,22 @@
     def test_a_read_waits_for_the_only_upstream(self):
         plain = self.fleet.plain("p1")
         plain.pause_s = 4
-        self.assertEqual(self.ask_silent(plain, "/read/x").status, 200)
+        answer = self.request_silent_upstream(plain, "/read/x")
+        self.assertEqual(answer.status, 200)
 
     def test_a_stream_waits_for_the_only_engine(self):
         engine = self.fleet.engine("e1")
         engine.gate = Gate()
-        self.assertEqual(self.ask_silent(engine, "/ask/x").body, EVENTS)
+        answer = self.request_silent_upstream(engine, "/ask/x")
+        self.assertEqual(answer.body, EVENTS)
 
 
 class OwnFormTest(unittest.TestCase):
-    """Symptom, on the router's own form: a stream ends in the middle although
-    its only engine goes on and nearly all of its time is left.
-    Sequence: the engine stands still for some seconds.
-    Cause: each attempt is given up for silence whether or not there is
-    another engine, until none is left.
-    Settled by: four times attempt_failed with reason=silent, of one engine.
+    """A stream was cut with time left, on the native platform form.
+
+    The only engine stalls for some seconds. The router gave up each attempt
+    for silence without checking for another engine, until no attempt was
+    left: four attempt_failed events with reason=silent for one engine.
     """
 
     def test_a_stream_waits_for_the_only_engine(self):
@@ -246,10 +242,10 @@
         stream = router.stream({"model": "m", "prompt": "a prompt " * 20,
                                 "max_tokens": 30}).read(2)
         engine.signal(signal.SIGSTOP)
-        thaw = threading.Timer(8, engine.signal, [signal.SIGCONT])
-        thaw.start()
+        resume_timer = threading.Timer(8, engine.signal, [signal.SIGCONT])
+        resume_timer.start()
         stream.read()
-        thaw.join()
+        resume_timer.join()
         self.assertTrue(stream.whole, [
             e for name in ("attempt_failed", "request_refused")
             for e in router.events(name)])
@@ -257,16 +253,15 @@
 
 
 class KeyOfAnotherTest(test_fleet.StreamTest):
-    """Symptom: a request runs in the name of a customer who no longer holds
-    its key.
-    Sequence: a stream is under way; a configuration gives its key to another
-    customer; the stream breaks and goes on at another engine.
-    Cause: only whether anybody holds the key was asked before the next
-    attempt.
-    Settled by: that attempt names the customer of the first one.
+    """A request ran for a customer that no longer held its API key.
+
+    During a stream, a configuration assigns the key to another customer; then
+    the stream breaks and another engine continues it. Before the next attempt
+    the router checked only that some customer holds the key, so that attempt
+    still named the first customer.
     """
 
-    def test_a_stream_does_not_go_on_in_the_name_of_who_lost_the_key(self):
+    def test_a_stream_is_not_continued_after_its_customer_lost_the_key(self):
         self.start_stream("/ask/x")
         self.fleet.config(customers=[
             {"name": "a", "api_keys": ["key-new"]},
--- a/tests/sessions/test_claims.py
+++ b/tests/sessions/test_claims.py
@@ -6,9 +6,9 @@
 from faultproxy import FaultProxy
 
 RENEW = "/v1/services/ledger/renew"
-# Keys that seem to be made so much later are taken for younger than a return
-# that was a second ago or more: callers' clocks may be off by half a minute.
-LATER_S = 29
+# A router treats keys dated this far ahead as newer than a return of the log
+# that was at least 1 s ago, as callers' clocks may be off by 30 s.
+KEY_LEAD_S = 29
 
 
 class ClaimTest(unittest.TestCase):
@@ -53,7 +53,7 @@
             self.assertEqual(self.renew(one, key).status, 200)
             self.assertEqual(self.renew(two, key).status, 409)
             wait_for(lambda: self.renew(two, key).error()["code"]
-                     == "already_ran", "the outcome's record")
+                     == "already_ran", "the record of the outcome")
             self.assertEqual(self.runs()[key], 1)
 
     def test_keys_outlive_each_owner(self):
@@ -70,7 +70,8 @@
     def test_paused_owner_neither_blocks_nor_doubles(self):
         one, two = self.start("r1", "r2")
         two.signal(STOP)
-        keys = [uuid7() for _ in range(24)]  # some of shards that it owns
+        # The paused router owns the shards of some of the keys.
+        keys = [uuid7() for _ in range(24)]
         answers = []
         threads = [threading.Thread(target=lambda k=key: answers.append(
             self.renew(one, k))) for key in keys]
@@ -85,7 +86,7 @@
             self.assertEqual(self.renew(two, key).status, 409)
         self.assertEqual(set(self.runs().values()), {1})
 
-    def test_owner_cut_off_from_the_log_is_passed_by(self):
+    def test_owner_cut_off_from_the_log_is_bypassed(self):
         direct = self.cluster.log_address
         proxy = self.cluster.add(FaultProxy(self.cluster.log.port))
         self.cluster.log_address = proxy.address
@@ -119,7 +120,8 @@
         self.assertEqual(refused.error()["run"], "not_run")
         self.assertEqual(self.runs().get(key), None)
         self.cluster.log.control(land_late=0)
-        wait_for(lambda: self.renew(two, key).status == 200, "the key's run")
+        wait_for(lambda: self.renew(two, key).status == 200,
+                 "the run of the call")
         self.assertEqual(self.runs()[key], 1)
 
     def test_outage_of_the_log_refuses_as_not_run(self):
@@ -132,16 +134,18 @@
         self.assertEqual(self.runs(), {})
         self.cluster.log.control(down=0)
         for key in keys:
-            wait_for(lambda: self.renew(two, key).status == 200, "the run")
+            wait_for(lambda: self.renew(two, key).status == 200,
+                     "the run of the call")
         self.assertEqual(set(self.runs().values()), {1})
 
     def test_call_whose_router_died_is_in_doubt(self):
         one, two = self.start("r1", "r2")
         self.service.control(delay_ms=100000)
         key = uuid7()
-        thread = threading.Thread(target=self.ask_and_lose, args=(one, key))
+        thread = threading.Thread(target=self.renew_and_lose_connection,
+                                  args=(one, key))
         thread.start()
-        wait_for(lambda: key in self.runs(), "the run")
+        wait_for(lambda: key in self.runs(), "the run of the call")
         one.kill()
         thread.join()
         repeat = self.renew(two, key)
@@ -149,7 +153,7 @@
         self.assertEqual(repeat.error()["run"], "may_have_run")
         self.assertEqual(self.runs()[key], 1)
 
-    def ask_and_lose(self, router, key):
+    def renew_and_lose_connection(self, router, key):
         with self.assertRaises((ConnectionError, OSError)):
             self.renew(router, key)
 
@@ -161,8 +165,8 @@
             router.kill()
         self.cluster.peers.clear()
         for name in ("r1", "r2"):
-            again = self.cluster.router(name).wait_ready()
-            self.assertEqual(self.renew(again, key).status, 409)
+            restarted = self.cluster.router(name).wait_ready()
+            self.assertEqual(self.renew(restarted, key).status, 409)
         self.assertEqual(self.runs()[key], 1)
 
     def test_key_older_than_what_the_log_keeps_is_refused(self):
@@ -176,61 +180,62 @@
         for router in (one, two):
             router.kill()
         self.cluster.peers.clear()
-        again = self.cluster.router("r3")
-        self.cluster.apply([again])
-        refused = self.renew(again, old)
+        restarted = self.cluster.router("r3")
+        self.cluster.apply([restarted])
+        refused = self.renew(restarted, old)
         self.assertEqual(refused.status, 400)
         self.assertEqual(refused.error()["run"], "not_run")
 
 
 class ReturnTest(ClaimTest):
-    """The log comes back from an older copy: claims are lost."""
+    """The log is restored from an older copy, so claims are lost."""
 
-    def come_back_older(self):
+    def restore_older_log(self):
         self.cluster.log.control(come_back=1)
 
-    def start_and_copy(self, *names):
+    def start_and_copy_log(self, *names):
         routers = self.start(*names)
         self.assertEqual(self.renew(routers[0], uuid7()).status, 200)
         self.cluster.log.control(copy=1)
         return routers
 
     def test_a_claim_that_is_known_to_a_router_bars_its_key(self):
-        one, two = self.start_and_copy("r1", "r2")
+        one, two = self.start_and_copy_log("r1", "r2")
         keys = [uuid7() for _ in range(24)]
         for key in keys:
             self.assertEqual(self.renew(one, key).status, 200)
-        self.come_back_older()
+        self.restore_older_log()
         for key in keys:
             for router in (one, two):
                 self.assertEqual(self.renew(router, key).status // 100, 4)
         self.assertEqual({self.runs()[key] for key in keys}, {1})
 
     def test_a_claim_that_nobody_knows_is_refused_as_not_run(self):
-        """All routers were gone with the seconds that the log lost: the call
+        """No router was left from the seconds that the log lost, so the call
         ran again."""
-        one, two = self.start_and_copy("r1", "r2")
+        one, two = self.start_and_copy_log("r1", "r2")
         keys = [uuid7() for _ in range(8)]
         for key in keys:
             self.assertEqual(self.renew(one, key).status, 200)
         for router in (one, two):
             router.kill()
-        self.come_back_older()
+        self.restore_older_log()
         self.cluster.peers.clear()
-        again = self.cluster.router("r3")
-        self.cluster.apply([again])
+        restarted = self.cluster.router("r3")
+        self.cluster.apply([restarted])
         for key in keys:
-            refused = self.renew(again, key)
+            refused = self.renew(restarted, key)
             self.assertEqual(refused.status // 100, 4)
             self.assertEqual(refused.error()["run"], "not_run")
         self.assertEqual({self.runs()[key] for key in keys}, {1})
 
     def test_later_keys_are_let_in_again(self):
-        one, two = self.start_and_copy("r1", "r2")
-        self.come_back_older()
+        one, two = self.start_and_copy_log("r1", "r2")
+        self.restore_older_log()
         for router in (one, two):
             wait_for(lambda: self.renew(router, uuid7(
-                age_seconds=-LATER_S)).status == 200, "let in")
+                age_seconds=-KEY_LEAD_S)).status == 200,
+                     "admission of a later key")
 
 
 if __name__ == "__main__":
--- a/tests/sessions/test_moves.py
+++ b/tests/sessions/test_moves.py
@@ -1,4 +1,4 @@
-"""Streams whose engine falls silent, and what follows it."""
+"""Streams whose engine falls silent or is to load weights: hedges, moves."""
 import signal
 import threading
 import time
@@ -9,30 +9,30 @@
 from test_fleet import EVENTS, Gate
 
 
-def name_weights(fleet):
+def declare_new_weights(fleet):
     fleet.store.put("keyed.op", "version/m", {"model": "m", "version": 2})
 
 
 class EmptyRestTest(test_fleet.SilentStreamTest):
-    """Symptom: a caller has all events of a stream, but its end comes only at
-    the deadline, as a cut.
-    Sequence: the engine falls silent behind its last event; the engine that is
-    asked beside it answers that there is no rest.
-    Cause: an answer without an event was taken for a try that failed.
-    Settled by: stream_stays with reason=whole, and no request_done until the
-    deadline.
+    """A caller had all events, but its stream ended as cut at the deadline.
+
+    The engine falls silent after its last event, and the hedged engine
+    answers that nothing remains. An answer without an event was treated as a
+    failed attempt: stream_stays with reason=whole, and no request_done until
+    the deadline.
     """
 
     def test_a_stream_whose_rest_is_empty_is_whole(self):
         self.start_stream("/ask/x", token_timeout="100ms")
         for engine in self.others:
-            engine.pieces = 1  # of which the caller has the only one
+            engine.pieces = 1  # the caller already has this one event
         self.fall_silent()
         wait_for(lambda: [e for e in self.others if e.seen],
                  "another engine is asked")
         self.reader.join(5)
-        self.assertFalse(self.reader.is_alive())  # before the first speaks
-        # Its line is written after the end of the answer.
+        # The answer ends while the first engine is still silent.
+        self.assertFalse(self.reader.is_alive())
+        # The router logs request_done after the end of the answer.
         done = wait_for(lambda: self.router.events("request_done"),
                         "request_done", limit=1)
         self.speak_again()
@@ -42,14 +42,13 @@
 
 
 class MoveAfterSilenceTest(test_fleet.SilentStreamTest):
-    """Symptom: a stream stays at an engine that is to load weights, and pauses
-    there, though its route allows another attempt.
-    Sequence: the engine was silent for a moment before; the others refused the
-    rest as not run; it went on.
-    Cause: the stream was taken from those that may be moved at the first try
-    beside its engine, whatever that was for.
-    Settled by: stream_stays with reason=not_run, later order_sent for its
-    engine, and no second try.
+    """A stream stayed at an engine that is to load weights, and paused there.
+
+    The engine was silent for a moment before, the others refused the
+    remainder as not run, and the engine continued. Any hedge excluded the
+    stream from later moves, whatever its reason, though the route allowed
+    another attempt: stream_stays with reason=not_run, later order_sent for
+    its engine, and no second hedge.
     """
 
     def test_a_stream_leaves_a_loading_engine_that_was_silent(self):
@@ -60,11 +59,12 @@
         self.router.wait_event("stream_stays")
         self.first.probed.set()
         self.first.gate.open(1)
-        self.router.wait_event("upstream_reached")  # else it stays silent
+        # Until then the router still counts the engine as silent.
+        self.router.wait_event("upstream_reached")
         for engine in self.others:
             engine.shed = False
             engine.gate.open()
-        name_weights(self.fleet)
+        declare_new_weights(self.fleet)
         self.reader.join(5)
         self.first.gate.open()
         self.assert_whole()
@@ -73,22 +73,22 @@
 
 
 class NamedEventsTest(test_fleet.StreamTest):
-    """Symptom: a caller has an event twice.
-    Sequence: a stream whose event ids are no numbers is tried at another
-    engine beside its own, which sends one more event; both engines send it.
-    Cause: only numbers tell that an event has passed.
-    Settled by: the same id twice in what the caller reads.
+    """A caller received an event twice.
+
+    A stream whose event ids are not numbers is hedged; the other engine sends
+    one more event, and so does its own engine. Only numeric ids let the
+    router recognize an event that it has already relayed.
     """
 
     def start_stream(self, path, **settings):
         engine = self.fleet.engine
 
-        def named(name):
-            made = engine(name)
-            made.stream = lambda call, headers: self.stream(made, call,
-                                                            headers)
-            return made
-        self.fleet.engine = named
+        def engine_with_named_ids(name):
+            stand_in = engine(name)
+            stand_in.stream = lambda call, headers: self.stream(
+                stand_in, call, headers)
+            return stand_in
+        self.fleet.engine = engine_with_named_ids
         super().start_stream(path, **settings)
 
     def stream(self, engine, call, headers):
@@ -98,15 +98,15 @@
         call.send_header("Transfer-Encoding", "chunked")
         call.end_headers()
         last = call.headers.get("Last-Event-Id", "k-")[2:]
-        for place in range(int(last) + 1 if last else 0, engine.pieces):
+        for number in range(int(last) + 1 if last else 0, engine.pieces):
             engine.gate.wait(60)
-            piece = b"id: k-%d\ndata: piece-%d\n\n" % (place, place)
-            call.wfile.write(b"%x\r\n%s\r\n" % (len(piece), piece))
+            chunk = b"id: k-%d\ndata: piece-%d\n\n" % (number, number)
+            call.wfile.write(b"%x\r\n%s\r\n" % (len(chunk), chunk))
         call.wfile.write(b"0\r\n\r\n")
 
     def test_a_stream_whose_events_have_no_numbers_stays(self):
         self.start_stream("/ask/x")
-        name_weights(self.fleet)
+        declare_new_weights(self.fleet)
         wait_for(lambda: all(e.version == 2 for e in self.engines), "loaded")
         for engine in self.engines:
             engine.gate.open()
@@ -116,15 +116,13 @@
 
 
 class CountedTest(test_fleet.SilentStreamTest):
-    """Symptom: streams leave silent engines, and no retry for silence is
-    counted.
-    Sequence: an engine is silent; its stream is tried at another one.
-    Cause: all tries beside an attempt were counted as those of streams whose
-    engine is to load weights.
-    Settled by: retries_total with reason="moved" alone.
+    """Streams left silent engines, but no retry for silence was counted.
+
+    Every hedge was counted as one for an engine that is to load weights:
+    retries_total showed reason="moved" alone.
     """
 
-    def test_a_try_beside_a_silent_engine_counts_as_one_for_silence(self):
+    def test_a_hedge_for_a_silent_engine_is_counted_as_silent(self):
         self.start_stream("/ask/x", token_timeout="100ms")
         for engine in self.others:
             engine.gate.open()
@@ -137,13 +135,12 @@
 
 
 class FirstOnceTest(test_fleet.SilentStreamTest):
-    """Symptom: streams that began in time are told of as late from the first
-    event on, and first_token_us has more entries than there are streams.
-    Sequence: a stream goes on at another engine seconds later.
-    Cause: the first event of each attempt was taken for the first one that the
-    caller gets.
-    Settled by: request_done with late=first and a first_us that is longer than
-    what the caller waited.
+    """Streams that began in time were logged as late from the first event.
+
+    Another engine continues the stream seconds later. The first event of each
+    attempt was treated as the first event that the caller receives, so
+    request_done had late=first and a first_us longer than the caller's wait,
+    and first_token_us had more entries than there were streams.
     """
 
     def test_the_first_event_of_a_stream_is_that_of_its_first_attempt(self):
@@ -162,20 +159,18 @@
 
 
 class SeveralEventsTest(test_fleet.StreamTest):
-    """Symptom: a stream is not moved, and events are counted as too large that
-    are not.
-    Sequence: it is to move; the next engine has many events ready and sends
-    them in one piece.
-    Cause: the whole piece was held against the bound of one event.
-    Settled by: stream_stays with reason=oversized; each event is below
-    event_max.
+    """A stream was not moved, and small events were counted as too large.
+
+    The next engine has many events ready and sends them in one chunk. The
+    size of the whole chunk was compared with event_max, although each event
+    is smaller: stream_stays with reason=oversized.
     """
 
     def test_events_in_one_piece_are_bounded_one_by_one(self):
         self.start_stream("/ask/x", event_max="1024B")
         for engine in self.others:
-            engine.stream = self.in_one_piece
-        name_weights(self.fleet)
+            engine.stream = self.send_one_chunk
+        declare_new_weights(self.fleet)
         wait_for(lambda: self.router.events("stream_moved") or
                  self.router.events("stream_stays"), "it is tried")
         self.first.gate.open()
@@ -183,22 +178,21 @@
         self.assertEqual(self.router.events("stream_stays"), [])
         self.assertTrue(self.answers[0].body.endswith(b"x\n\n"))
 
-    def in_one_piece(self, call, headers):
+    def send_one_chunk(self, call, headers):
         call.send_response(200)
         for name, value in headers.items():
             call.send_header(name.replace("_", "-"), value)
         call.send_header("Transfer-Encoding", "chunked")
         call.end_headers()
-        piece = b"".join(b"id: %d\ndata: %s\n\n" % (i, b"x" * 400)
+        chunk = b"".join(b"id: %d\ndata: %s\n\n" % (i, b"x" * 400)
                          for i in range(1, 5))
-        call.wfile.write(b"%x\r\n%s\r\n0\r\n\r\n" % (len(piece), piece))
+        call.wfile.write(b"%x\r\n%s\r\n0\r\n\r\n" % (len(chunk), chunk))
 
 
 class BesideTest(test_fleet.SilentStreamTest):
-    """Another engine is asked beside the silent one, and something else
-    happens before either has spoken."""
+    """Events during a hedge, before either engine has sent an event."""
 
-    def ask_beside(self, **settings):
+    def start_hedge(self, **settings):
         settings = {"token_timeout": "100ms", **settings}
         self.start_stream("/ask/x", **settings)
         self.fall_silent()
@@ -206,7 +200,7 @@
                         "another engine is asked")[0]
 
     def test_the_silent_engine_dies(self):
-        second = self.ask_beside()
+        second = self.start_hedge()
         self.first.cut_after = 1
         self.first.gate.open()
         self.router.wait_event("stream_moved")
@@ -215,7 +209,7 @@
         self.assertEqual(self.router.events("attempt_failed"), [])
 
     def test_the_other_engine_dies(self):
-        second = self.ask_beside()
+        second = self.start_hedge()
         second.cut_after = 0
         second.gate.open()
         self.router.wait_event("stream_stays")
@@ -224,7 +218,7 @@
         self.assertEqual(sum(len(e.seen) for e in self.engines), 2)
 
     def test_the_other_engine_falls_silent_too(self):
-        self.ask_beside(first_token_timeout="300ms")
+        self.start_hedge(first_token_timeout="300ms")
         stays = self.router.wait_event("stream_stays")[0]
         self.assertEqual(stays["reason"], "silent")
         self.speak_again()
@@ -232,8 +226,8 @@
         self.assertEqual(sum(len(e.seen) for e in self.engines), 2)
 
     def test_the_silent_engine_is_to_load_weights(self):
-        second = self.ask_beside()
-        name_weights(self.fleet)
+        second = self.start_hedge()
+        declare_new_weights(self.fleet)
         wait_for(lambda: all(e.version == 2 for e in self.others), "loaded")
         second.gate.open()
         self.assert_whole()
@@ -241,17 +235,17 @@
 
     def test_a_loading_engine_falls_silent(self):
         self.start_stream("/ask/x", token_timeout="100ms")
-        name_weights(self.fleet)
+        declare_new_weights(self.fleet)
         second = wait_for(lambda: [e for e in self.others if e.seen],
                           "another engine is asked")[0]
         self.fall_silent()
-        time.sleep(2)  # its silence is noticed
+        time.sleep(2)  # the router detects the silence
         second.gate.open()
         self.assert_whole()
         self.assertEqual(sum(len(e.seen) for e in self.engines), 2)
 
     def test_both_engines_speak_at_once(self):
-        second = self.ask_beside()
+        second = self.start_hedge()
         for engine in (self.first, second):
             engine.gate.open()
         self.assert_whole()
@@ -259,13 +253,13 @@
     def test_the_deadline_passes(self):
         ask = self.fleet.ask
         self.fleet.ask = lambda router, path: ask(router, path, wait_ms=5000)
-        self.ask_beside()
+        self.start_hedge()
         self.reader.join()
         done = self.router.events("request_done")
         self.assertEqual([d["outcome"] for d in done], ["deadline_passed"])
 
     def test_the_router_stops(self):
-        second = self.ask_beside()
+        second = self.start_hedge()
         self.router.signal(signal.SIGTERM)
         time.sleep(0.5)
         second.gate.open()
@@ -273,13 +267,12 @@
 
 
 class EjectedWhileKeptTest(unittest.TestCase):
-    """Symptom, on the router's own form: requests are sent to an engine that
-    stands still for as long as it does.
-    Sequence: the requests may run only once, or the retry allowance is spent;
-    the engine falls silent; each request waits there for its deadline.
-    Cause: an attempt that is kept although its engine is silent was no failure
-    of that engine, so that it was never ejected.
-    Settled by: no upstream_ejected beside requests that end at their deadline.
+    """Requests went to a stalled engine, on the native platform form.
+
+    The requests may run only once, or the retry allowance is spent, so each
+    one waits at the silent engine until its deadline. An attempt that is kept
+    despite the silence was not counted as a failure of the engine, so the
+    engine was never ejected (no upstream_ejected event) while it stalled.
     """
 
     def test_a_silent_engine_is_ejected_though_its_requests_wait(self):
--- a/tests/sessions/test_peers.py
+++ b/tests/sessions/test_peers.py
@@ -1,4 +1,4 @@
-"""What several routers do together: members, configuration, leaving."""
+"""Membership, shared configuration and departures among several routers."""
 import json
 import unittest
 
@@ -18,7 +18,7 @@
         self.assertEqual(done.returncode, 0, done.stderr)
         return json.loads(done.stdout)
 
-    def offset(self, router):
+    def fold_offset(self, router):
         return self.status(router)["router"]["fold_offset"]
 
     def apply_level(self, router, level):
@@ -52,7 +52,8 @@
         proxy.cut_all()
         two.wait_event("log_unreachable")
         self.assertEqual(self.apply_level(one, 12).returncode, 0)
-        wait_for(lambda: self.offset(two) == self.offset(one), "the change")
+        wait_for(lambda: self.fold_offset(two) == self.fold_offset(one),
+                 "the new level")
 
     def test_router_starts_from_a_peer_while_the_log_is_down(self):
         self.cluster.engine("e1")
@@ -98,15 +99,15 @@
         self.assertEqual(engine.state()["violations"], 0)
         self.cluster.log.control(down=0)
         for router in routers:
-            wait_for(lambda: self.offset(router) == 1, "the log's state")
+            wait_for(lambda: self.fold_offset(router) == 1, "the log's state")
             done = self.cluster.command("get", "priority", "low",
                                         routers=[router])
             self.assertIn("10", done.stdout)
 
     def test_router_starts_from_a_snapshot_when_records_have_expired(self):
         one = self.cluster.start("r1", snapshot_records="5")
-        # Commands that follow each other faster than snapshots are looked at
-        # would share one.
+        # Without the waits, commands that arrive between two checks for a
+        # snapshot would share one snapshot.
         for number, level in enumerate(range(11, 30), 1):
             self.assertEqual(self.apply_level(one, level).returncode, 0)
             if number % 6 == 0:
@@ -118,10 +119,11 @@
         self.cluster.peers.clear()
         two = self.cluster.router("r2").wait_ready()
         two.wait_event("snapshot_loaded")
-        # A snapshot that was on its way as r1 was killed counts as a record,
+        # A snapshot that r1 was appending when it was killed adds a record
         # but changes no object.
-        wait_for(lambda: self.offset(two) >= before["fold_offset"], "offset")
-        self.assertLessEqual(self.offset(two), before["fold_offset"] + 1)
+        wait_for(lambda: self.fold_offset(two) >= before["fold_offset"],
+                 "the fold offset")
+        self.assertLessEqual(self.fold_offset(two), before["fold_offset"] + 1)
         self.assertEqual(self.status(two)["router"]["digest"],
                          before["digest"])
 
@@ -133,7 +135,8 @@
         self.cluster.log.control(retention=8)
         self.assertEqual(self.apply_level(one, 30).returncode, 0)
         two.signal(CONTINUE)
-        wait_for(lambda: self.offset(two) == self.offset(one), "the rest")
+        wait_for(lambda: self.fold_offset(two) == self.fold_offset(one),
+                 "the remaining records")
         self.assertEqual(self.status(two)["router"]["digest"],
                          self.status(one)["router"]["digest"])
 
@@ -146,12 +149,13 @@
         self.assertEqual(self.cluster.apply([one, *others]).returncode, 0)
         for router in others:
             router.wait_event("member_joined", 3)
-        first_list = self.cluster.processes[1]
-        request(first_list.port, "POST", "/instances",
+        # The list of instances that only r1 reads.
+        r1_instances = self.cluster.processes[1]
+        request(r1_instances.port, "POST", "/instances",
                 {"name": "e1", "state": "leaving"})
         for router in others:
-            found = router.wait_event("upstream_leaving")[0]
-            self.assertEqual(found["source"], "peer")
+            leaving = router.wait_event("upstream_leaving")[0]
+            self.assertEqual(leaving["source"], "peer")
 
     def test_engine_that_refuses_as_leaving_is_known_to_all(self):
         engine = self.cluster.engine("e1")
@@ -178,14 +182,14 @@
             router.complete({"model": "m", "prompt": "warm " * 100,
                                       "max_tokens": 3})
         engine.kill()
-        again = self.cluster.add(StandIn(
+        restarted = self.cluster.add(StandIn(
             "engine", port=engine.port, name="e1", models="m",
             incarnation=200))
         for router in routers:
             answer = router.complete({"model": "m", "prompt": "warm " * 100,
                                       "max_tokens": 3})
             self.assertEqual(answer.status, 200)
-        self.assertEqual(again.state()["violations"], 0)
+        self.assertEqual(restarted.state()["violations"], 0)
         for router in routers:
             self.assertEqual(
                 self.status(router)["upstreams"][0]["incarnation"], 200)
@@ -204,17 +208,17 @@
                 self.assertEqual(places(stream.tokens()), list(range(60)))
             self.assertEqual(router.stop(), 0)
 
-    def test_who_does_not_know_the_key_is_not_let_in(self):
+    def test_router_with_another_seal_key_is_not_admitted(self):
         one = self.cluster.start("r1")
         text = open(one.path).read().replace("seal = 11", "seal = 12")
         path = self.cluster.write("r9.ini", text.replace(
             "name = r1", "name = r9").replace(
                 "seeds = ", "seeds = " + one.peer_address))
-        stranger = self.cluster.add(Process(
+        outsider = self.cluster.add(Process(
             [BUILD + "/wheattiller", "router", "--settings", path]))
-        stranger.wait_event("config_in_force")
+        outsider.wait_event("config_in_force")
         self.assertEqual(self.status(one)["peers"], [])
-        self.assertEqual(stranger.events("member_joined"), [])
+        self.assertEqual(outsider.events("member_joined"), [])
 
 
 if __name__ == "__main__":
--- a/tests/sessions/test_streams.py
+++ b/tests/sessions/test_streams.py
@@ -1,14 +1,16 @@
-"""Streams stay whole, in order and their caller's own, whatever fails."""
+"""Streams stay complete, in order and with their caller, whatever fails."""
+import signal
 import socket
 import threading
 import unittest
 
-from cluster import BASE_DECLARATIONS, Cluster, places, request, uuid7, wait_for
+from cluster import (BASE_DECLARATIONS, Cluster, places, request, uuid7,
+                     wait_for)
 from faultproxy import FaultProxy
 
 
-def question(text="a prompt " * 20, tokens=12, **more):
-    return {"model": "m", "prompt": text, "max_tokens": tokens, **more}
+def body_of(prompt="a prompt " * 20, tokens=12, **more):
+    return {"model": "m", "prompt": prompt, "max_tokens": tokens, **more}
 
 
 class StreamTest(unittest.TestCase):
@@ -31,8 +33,8 @@
     def test_plain_and_streamed_answer_are_the_same_text(self):
         self.cluster.engine("e1")
         router = self.cluster.start()
-        plain = router.complete(question())
-        stream = router.stream(question()).read()
+        plain = router.complete(body_of())
+        stream = router.stream(body_of()).read()
         self.assert_whole(stream)
         self.assertEqual(plain.json()["choices"][0]["text"],
                          "".join(stream.tokens()))
@@ -42,7 +44,7 @@
         router = self.cluster.start()
         for size in (700, 800, 900, 1000, 1100):
             proxy.cut_after_bytes, proxy.cuts = size, 1
-            self.assert_whole(router.stream(question("cut %d " % size * 20))
+            self.assert_whole(router.stream(body_of("cut %d " % size * 20))
                               .read())
         self.assertEqual(proxy.injected, 5)
         self.assertEqual(engine.state()["runs"], 5)
@@ -52,10 +54,10 @@
         engine, proxy = self.engine_behind_proxy("e1")
         router = self.cluster.start()
         proxy.cut_after_request = 1
-        self.assert_whole(router.stream(question("one " * 20)).read())
+        self.assert_whole(router.stream(body_of("one " * 20)).read())
         runs = engine.state()["runs"]
         proxy.cut_after_request = 1
-        answer = router.complete(question("two " * 20), X_Repeatable="no",
+        answer = router.complete(body_of("two " * 20), X_Repeatable="no",
                                  Idempotency_Key=uuid7())
         self.assertEqual(answer.status, 502)
         self.assertEqual(answer.error()["run"], "may_have_run")
@@ -66,8 +68,8 @@
         self.cluster.engine("e2")
         router = self.cluster.start(first_token_timeout="300ms")
         proxy.black_hole = True
-        for number in range(16):  # some of them go to the first engine
-            self.assert_whole(router.stream(question("hole %d " % number * 20))
+        for number in range(16):  # some are routed to the first engine
+            self.assert_whole(router.stream(body_of("hole %d " % number * 20))
                               .read())
         self.assertGreater(proxy.injected, 0)
         self.assertGreater(router.count('retries_total{reason="silent"'), 0)
@@ -75,14 +77,15 @@
     def test_swapped_answers_reach_neither_caller(self):
         _, proxy = self.engine_behind_proxy("e1", decode_ms=20)
         router = self.cluster.start()
-        expected = [router.complete(question("q%d " % n * 20)).json()
+        expected = [router.complete(body_of("q%d " % n * 20)).json()
                     for n in range(2)]
         proxy.swap = 1
-        # An idle connection would not pass the proxy's gate anew.
+        # The proxy swaps only the first answer of a connection, so these
+        # requests need new connections, not idle ones.
         answers = [None, None]
 
         def ask(n):
-            answers[n] = router.complete(question("q%d " % n * 20),
+            answers[n] = router.complete(body_of("q%d " % n * 20),
                                          X_Repeatable="no",
                                          Idempotency_Key=uuid7())
 
@@ -97,21 +100,21 @@
             self.assertEqual(answers[n].error()["code"], "answer_mismatch")
         self.assertEqual(router.count("answer_mismatch_total"), 2)
         for n in range(2):
-            again = router.complete(question("q%d " % n * 20)).json()
+            again = router.complete(body_of("q%d " % n * 20)).json()
             self.assertEqual(again["choices"], expected[n]["choices"])
 
     def test_duplicated_bytes_do_not_reach_the_caller(self):
         _, proxy = self.engine_behind_proxy("e1")
         router = self.cluster.start()
         proxy.duplicate = 1
-        self.assert_whole(router.stream(question()).read())
+        self.assert_whole(router.stream(body_of()).read())
         self.assertEqual(proxy.injected, 1)
 
     def test_slow_and_late_network_only_delays(self):
         _, proxy = self.engine_behind_proxy("e1")
         router = self.cluster.start()
         proxy.delay, proxy.throttle = 0.02, 20000
-        self.assert_whole(router.stream(question()).read())
+        self.assert_whole(router.stream(body_of()).read())
         self.assertEqual(router.count("retries_total"), 0)
 
     def test_refused_connection_goes_elsewhere_even_if_not_repeatable(self):
@@ -120,7 +123,7 @@
         router = self.cluster.start()
         engine.kill()
         for number in range(4):
-            answer = router.complete(question("gone %d " % number * 20),
+            answer = router.complete(body_of("gone %d " % number * 20),
                                      X_Repeatable="no",
                                      Idempotency_Key=uuid7())
             self.assertEqual(answer.status, 200)
@@ -129,7 +132,7 @@
         engine = self.cluster.engine("e1")
         router = self.cluster.start()
         engine.control(no_end=1)
-        self.assert_whole(router.stream(question()).read())
+        self.assert_whole(router.stream(body_of()).read())
         self.assertEqual(engine.state()["resumed"], 1)
 
     def test_engine_that_falls_silent_is_asked_for_the_rest(self):
@@ -137,68 +140,71 @@
         router = self.cluster.start(token_timeout="200ms",
                                     first_token_timeout="1h")
         engine.control(silent=1)
-        self.assert_whole(router.stream(question()).read())
+        self.assert_whole(router.stream(body_of()).read())
         self.assertEqual(engine.state()["runs"], 1)
 
     def test_frozen_engine_is_left_and_its_late_answer_goes_nowhere(self):
         first = self.cluster.engine("e1")
         second = self.cluster.engine("e2")
         router = self.cluster.start(first_token_timeout="300ms")
-        frozen = first
-        frozen.signal(19)
+        first.signal(signal.SIGSTOP)
         texts = ["frozen %d " % n * 20 for n in range(4)]
         for text in texts:
-            self.assert_whole(router.stream(question(text)).read())
-        frozen.signal(18)
-        wait_for(lambda: first.state()["waiting"] == 0, "the thaw")
+            self.assert_whole(router.stream(body_of(text)).read())
+        first.signal(signal.SIGCONT)
+        wait_for(lambda: first.state()["waiting"] == 0,
+                 "the engine's answers after it continues")
         for text in texts:
-            self.assert_whole(router.stream(question(text)).read())
+            self.assert_whole(router.stream(body_of(text)).read())
         self.assertGreater(second.state()["runs"], 0)
 
     def test_slow_caller_holds_the_engine_back_and_gets_all(self):
         self.cluster.engine("e1", decode_ms=1)
         router = self.cluster.start(stream_buffer="4KiB", token_timeout="60s")
-        stream = router.stream(question(tokens=5000), receive_buffer=4096)
+        stream = router.stream(body_of(tokens=5000), receive_buffer=4096)
         stream.read(1)
-        wait_for(lambda: router.count("streams_held_total") > 0, "a hold")
+        wait_for(lambda: router.count("streams_held_total") > 0,
+                 "a stream held back")
         self.assert_whole(stream.read(), 5000)
 
     def test_caller_that_leaves_ends_the_stream_upstream(self):
         engine = self.cluster.engine("e1", decode_ms=20)
         router = self.cluster.start(resume_grace="0s")
-        stream = router.stream(question(tokens=5000)).read(2)
+        stream = router.stream(body_of(tokens=5000)).read(2)
         stream.close()
-        wait_for(lambda: engine.state()["cancelled"] == 1, "the cancel")
-        wait_for(lambda: router.count("open_requests") == 0, "no request")
+        wait_for(lambda: engine.state()["cancelled"] == 1, "the cancellation")
+        wait_for(lambda: router.count("open_requests") == 0,
+                 "the end of the request")
         self.assertEqual(engine.state()["running"], 0)
 
     def test_resume_elsewhere_is_not_undone_by_the_late_cancel(self):
         engine = self.cluster.engine("e1", decode_ms=20)
         one, two = self.cluster.start("r1", "r2", resume_grace="300ms")
-        stream = one.stream(question(tokens=100)).read(3)
+        stream = one.stream(body_of(tokens=100)).read(3)
         stream.close()
-        rest = two.stream(None, Last_Event_ID=stream.last_id()).read()
-        self.assertTrue(rest.whole)
-        self.assertEqual(places(stream.tokens() + rest.tokens()),
+        remainder = two.stream(None, Last_Event_ID=stream.last_id()).read()
+        self.assertTrue(remainder.whole)
+        self.assertEqual(places(stream.tokens() + remainder.tokens()),
                          list(range(100)))
-        wait_for(lambda: one.count("open_requests") == 0, "the grace's end")
+        wait_for(lambda: one.count("open_requests") == 0,
+                 "the end of the grace period")
         self.assertEqual(engine.state()["cancelled"], 0)
 
-    def test_caller_that_half_closes_is_let_go(self):
+    def test_caller_that_half_closes_is_disconnected(self):
         engine = self.cluster.engine("e1", decode_ms=20)
         router = self.cluster.start(resume_grace="0s")
         text = ('{"model":"m","prompt":"half","max_tokens":5000,'
                 '"stream":true}')
-        with socket.create_connection(("127.0.0.1", router.port)) as half:
-            half.sendall(("POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
+        with socket.create_connection(("127.0.0.1", router.port)) as sock:
+            sock.sendall(("POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
                           "Authorization: Bearer acme-key\r\n"
                           "Content-Length: %d\r\n\r\n%s"
                           % (len(text), text)).encode())
-            half.recv(10)
-            half.shutdown(socket.SHUT_WR)
-            while half.recv(65536):
+            sock.recv(10)
+            sock.shutdown(socket.SHUT_WR)
+            while sock.recv(65536):
                 pass
-        wait_for(lambda: engine.state()["cancelled"] == 1, "the cancel")
+        wait_for(lambda: engine.state()["cancelled"] == 1, "the cancellation")
         self.assertEqual(router.count("open_requests"), 0)
 
     def test_sender_that_stops_is_closed(self):
@@ -206,16 +212,16 @@
         router = self.cluster.start(read_timeout="200ms")
         for part in (b"POST /v1/comp", b"POST /v1/completions HTTP/1.1\r\n"
                      b"Content-Length: 100\r\n\r\n{"):
-            with socket.create_connection(("127.0.0.1", router.port)) as slow:
-                slow.sendall(part)
-                while slow.recv(65536):
+            with socket.create_connection(("127.0.0.1", router.port)) as sock:
+                sock.sendall(part)
+                while sock.recv(65536):
                     pass
-        self.assertEqual(router.complete(question()).status, 200)
+        self.assertEqual(router.complete(body_of()).status, 200)
 
     def test_stop_of_a_router_cuts_off_no_stream(self):
         self.cluster.engine("e1", decode_ms=10)
         router = self.cluster.start()
-        streams = [router.stream(question("stop %d " % n * 20, 100)).read(1)
+        streams = [router.stream(body_of("stop %d " % n * 20, 100)).read(1)
                    for n in range(5)]
         router.process.terminate()
         for stream in streams:
@@ -226,7 +232,7 @@
         _, proxy = self.engine_behind_proxy("e1")
         self.engine_behind_proxy("e2")
         router = self.cluster.start(retry_percent="100", eject_failures="1000")
-        bodies = [question("many %d " % n * 20, 20) for n in range(40)]
+        bodies = [body_of("many %d " % n * 20, 20) for n in range(40)]
         expected = [router.complete(body).json()["choices"][0]["text"]
                     for body in bodies]
         proxy.cut_after_bytes, proxy.cuts = 2000, 15
@@ -238,24 +244,24 @@
 
     def test_caches_are_kept_apart_by_customer_and_weights(self):
         engine = self.cluster.engine("e1")
-        # So that the weights change by the test's hand alone.
+        # No router's order may change the weights during the test.
         router = self.cluster.start(order_timeout="1h")
         shared = "the same words for all " * 20
         for customer in ("acme", "other", "acme"):
-            router.complete(question(shared, user=customer),
+            router.complete(body_of(shared, user=customer),
                             customer=customer)
         state = engine.state()
         self.assertGreater(state["cached_tokens"], 0)
         self.assertEqual(state["violations"], 0)
         engine.control(weights="v2")
-        self.assertEqual(router.complete(question(shared, user="acme"))
+        self.assertEqual(router.complete(body_of(shared, user="acme"))
                          .error()["run"], "not_run")
         text = self.cluster.upstreams
         done = self.cluster.apply([router], BASE_DECLARATIONS.replace(
             "weights = v1", "weights = v2") + text)
         self.assertEqual(done.returncode, 0, done.stderr)
         before = engine.state()["cached_tokens"]
-        self.assertEqual(router.complete(question(shared, user="acme"))
+        self.assertEqual(router.complete(body_of(shared, user="acme"))
                          .status, 200)
         self.assertEqual(engine.state()["cached_tokens"], before)
         self.assertEqual(engine.state()["violations"], 0)
@@ -263,7 +269,7 @@
     def test_prompt_beyond_any_watermark_is_taken(self):
         self.cluster.engine("e1")
         router = self.cluster.start()
-        answer = router.complete(question("history " * 80000))
+        answer = router.complete(body_of("history " * 80000))
         self.assertEqual(answer.status, 200)
 
     def test_leaving_engine_gets_no_new_work(self):
@@ -275,7 +281,7 @@
         router.wait_event("upstream_leaving")
         runs = first.state()["runs"]
         for number in range(10):
-            answer = router.complete(question("leave %d " % number * 20))
+            answer = router.complete(body_of("leave %d " % number * 20))
             self.assertEqual(answer.status, 200)
         self.assertEqual(first.state()["runs"], runs)
 
