--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,7 +1,7 @@
 """Starts routers and stand-ins as processes on loopback and talks to them.
 
-Every wait is a wait for a condition. The limit on it only ends a test that
-would hang; it is never what a verdict rests on.
+Every wait is for a condition. Its time limit only ends a test that would
+hang; no test passes or fails by how long a wait took.
 """
 import hashlib
 import http.client
@@ -19,7 +19,7 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 BUILD = os.path.join(ROOT, os.environ.get("WT_BUILD", "build"))
-HANG_LIMIT = 60
+HANG_LIMIT = 60  # s
 OPERATOR_KEY = "operator-key"
 
 
@@ -28,7 +28,7 @@
 
 
 def uuid7(age_seconds=0):
-    """A UUID of version 7, its time so long ago."""
+    """Returns a UUID of version 7 whose timestamp lies age_seconds back."""
     now = int((time.time() - age_seconds) * 1000)
     number = (now << 80) | (7 << 76) | (random.getrandbits(12) << 64)
     number |= (2 << 62) | random.getrandbits(62)
@@ -36,6 +36,7 @@
 
 
 def wait_for(condition, what, limit=HANG_LIMIT):
+    """Polls condition until it returns a true value, and returns that."""
     end = time.monotonic() + limit
     while True:
         value = condition()
@@ -47,8 +48,8 @@
 
 
 class Process:
-    """One process whose output is kept line by line, what a sanitizer says
-    on standard error included."""
+    """A process whose standard output and error, sanitizer reports included,
+    are stored line by line."""
 
     def __init__(self, arguments, environment=None):
         self.lines = []
@@ -65,7 +66,7 @@
             self.lines.append(line.rstrip("\n"))
 
     def events(self, name=None):
-        """Log lines as dictionaries, of one event or all."""
+        """Returns the log lines of one event, or of all, as dictionaries."""
         found = []
         for line in list(self.lines):
             pairs = dict(re.findall(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)', line))
@@ -87,11 +88,11 @@
         self._close()
 
     def faults(self):
-        """What a sanitizer has said, from its first line on."""
+        """Returns the output from the first line of a sanitizer report on."""
         lines = list(self.lines)
-        for place, line in enumerate(lines):
+        for index, line in enumerate(lines):
             if "Sanitizer: " in line or "runtime error: " in line:
-                return lines[place:]
+                return lines[index:]
         return []
 
     def _close(self):
@@ -99,7 +100,7 @@
         self.process.stdout.close()
 
     def stop(self):
-        """SIGTERM, and the exit code."""
+        """Sends SIGTERM, waits for the end and returns the exit code."""
         if self.process.poll() is None:
             self.process.terminate()
         code = self.process.wait(HANG_LIMIT)
@@ -114,10 +115,10 @@
         for name, value in options.items():
             arguments += ["--" + name, str(value)]
         super().__init__(arguments)
-        self.port = wait_for(self._told_port, "port of stand-in " + role)
+        self.port = wait_for(self._printed_port, "port of stand-in " + role)
         self.address = "127.0.0.1:%d" % self.port
 
-    def _told_port(self):
+    def _printed_port(self):
         for line in list(self.lines):
             if line.startswith("port="):
                 return int(line.split("=")[1])
@@ -126,8 +127,8 @@
     def call(self, method, path, body=None):
         return request(self.port, method, path, body).json()
 
-    def control(self, **knobs):
-        return self.call("POST", "/control", knobs)
+    def control(self, **parameters):
+        return self.call("POST", "/control", parameters)
 
     def state(self):
         return self.call("GET", "/state")
@@ -168,12 +169,12 @@
         self.connection = http.client.HTTPConnection("127.0.0.1", port,
                                                      timeout=HANG_LIMIT)
         if receive_buffer:
-            small = socket.socket()
-            small.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF,
+            sock = socket.socket()
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF,
                              receive_buffer)
-            small.settimeout(HANG_LIMIT)
-            small.connect(("127.0.0.1", port))
-            self.connection.sock = small
+            sock.settimeout(HANG_LIMIT)
+            sock.connect(("127.0.0.1", port))
+            self.connection.sock = sock
         text = json.dumps(body) if body is not None else None
         self.connection.request(method, path, text, headers)
         self.response = self.connection.getresponse()
@@ -184,7 +185,7 @@
         self.broken = False
 
     def read_event(self):
-        """The next event as a dictionary, or None at the end."""
+        """Returns the next event as a dictionary, or None at the end."""
         event = {}
         while True:
             try:
@@ -192,7 +193,8 @@
             except OSError:
                 line = b""
             if line == b"":
-                # The library clears this only after the last chunk.
+                # http.client sets chunk_left to None only after the last
+                # chunk.
                 self.broken = (self.response.chunked
                                and self.response.chunk_left is not None)
                 return None
@@ -209,7 +211,7 @@
         return event
 
     def read(self, count=None):
-        """Read so many tokens, or all."""
+        """Reads until `count` tokens have arrived, or to the end."""
         while count is None or len(self.tokens()) < count:
             if self.read_event() is None:
                 self.close()
@@ -236,13 +238,13 @@
         return [e["id"] for e in self.events if "id" in e][-1]
 
     def close(self):
-        """A clean close of both ends, as a caller that leaves."""
+        """Closes the connection cleanly, as a caller that disconnects."""
         self.response.close()
         self.connection.close()
 
 
 def places(tokens):
-    """The place that each token of an engine stand-in names."""
+    """Returns the position in the answer that each stand-in token names."""
     return [int(token.split(".")[1]) for token in tokens]
 
 
@@ -264,21 +266,21 @@
                          "instances_poll": "50ms"},
             "limits": {},
         }
-        for name_, value in settings.items():
+        for key, value in settings.items():
             for section in values.values():
-                if name_ in section:
-                    section[name_] = value
+                if key in section:
+                    section[key] = value
                     break
             else:
                 section = "limits"
-                if name_.startswith(("log", "command", "snapshot", "claim", "lease",
-                                     "order", "weight")):
+                if key.startswith(("log", "command", "snapshot", "claim",
+                                     "lease", "order", "weight")):
                     section = "platform"
-                if name_ == "bootstrap":
+                if key == "bootstrap":
                     section = "router"
-                if name_.startswith("gossip"):
+                if key.startswith("gossip"):
                     section = "peers"
-                values[section][name_] = value
+                values[section][key] = value
         self.path = os.path.join(cluster.folder, name + ".ini")
         with open(self.path, "w") as file:
             for section, keys in values.items():
@@ -358,7 +360,7 @@
 
 
 class Cluster:
-    """The platform's stand-ins and whatever a test starts beside them."""
+    """The platform's stand-ins and the other processes of one test."""
 
     def __init__(self):
         self.folder = tempfile.mkdtemp(prefix="wt-")
@@ -420,7 +422,8 @@
                             routers=routers)
 
     def start(self, *names, **settings):
-        """Routers with the base declarations in force."""
+        """Starts routers, applies the base declarations and waits until all
+        are ready. Returns the router, or a list of several."""
         routers = [self.router(name, **settings) for name in names or ["r1"]]
         done = self.apply(routers)
         if done.returncode != 0:
@@ -445,8 +448,11 @@
 
 
 def assert_sound(processes):
-    """A fault behind a test's last look would go unseen, as routers are
-    killed."""
+    """Fails if any process has printed a sanitizer report.
+
+    Tests kill their routers, so a fault after the last check would not show
+    in an exit code.
+    """
     faults = [fault for process in processes if isinstance(process, Process)
               for fault in process.faults()]
     assert not faults, "\n".join(faults)
--- a/tests/faultproxy.py
+++ b/tests/faultproxy.py
@@ -1,26 +1,28 @@
-"""A TCP proxy that injects faults, switched at run time by its attributes.
+"""A TCP proxy that injects faults, which tests select by its attributes.
 
-Each fault is counted in `injected`, so that a test can wait until the fault
-really happened.
+`injected` counts the faults, so that a test can check that they happened.
 """
 import asyncio
 import threading
 
-BLOCK = 65536
+BLOCK_BYTES = 65536
 
 
 class FaultProxy:
-    """Stands before one server on loopback.
+    """Forwards connections to one server on loopback.
+
+    The attributes cut_after_request, cuts, duplicate and swap are the number
+    of times that the fault is still to happen.
 
     refuse: close each new connection at once
-    black_hole: take requests and pass nothing on
-    cut_after_request: so many times: pass the request on, then cut both
-        sides as soon as the answer begins
-    cut_after_bytes: cut an answer behind so many bytes, `cuts` times
+    black_hole: accept requests and forward nothing
+    cut_after_request: forward the request, then cut both sides as soon as
+        the answer begins
+    cut_after_bytes, cuts: cut an answer after cut_after_bytes bytes
     delay: seconds before each block of an answer
-    throttle: bytes a second of an answer
-    duplicate: so many times: send the first block of an answer twice
-    swap: so many times: give two waiting connections each other's answers
+    throttle: bytes per second of an answer
+    duplicate: send the first block of an answer twice
+    swap: exchange the answers of two connections
     """
 
     def __init__(self, target_port):
@@ -37,7 +39,7 @@
         self.injected = 0
         self.connections = 0
         self._waiting = None
-        self._sent = {}  # bytes of the answer under way, by writer
+        self._sent = {}  # bytes sent of the current answer, by writer
         self._loop = asyncio.new_event_loop()
         self._started = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -61,20 +63,21 @@
         self._loop.close()
 
     def kill(self):
-        """Named as a process's, so that a cluster can end it."""
+        """Stops the proxy. Cluster calls it as it calls Process.kill()."""
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
 
     def cut_all(self):
-        """Cut every open connection on both sides."""
+        """Cuts every open connection on both sides."""
         self._loop.call_soon_threadsafe(
             lambda: [writer.transport.abort() for writer in self._sent])
 
-    def _spend(self, name):
-        left = getattr(self, name)
-        if left <= 0:
+    def _use_fault(self, name):
+        """Returns whether the fault is due, and counts it."""
+        remaining = getattr(self, name)
+        if remaining <= 0:
             return False
-        setattr(self, name, left - 1)
+        setattr(self, name, remaining - 1)
         self.injected += 1
         return True
 
@@ -90,25 +93,27 @@
             writer.close()
             return
         try:
-            server = await asyncio.open_connection("127.0.0.1",
-                                                   self.target_port)
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                "127.0.0.1", self.target_port)
         except OSError:
             writer.close()
             return
         self._sent[writer] = 0
         try:
-            await asyncio.gather(self._requests(reader, writer, server[1]),
-                                 self._answers(server[0], writer, server[1]))
+            await asyncio.gather(
+                self._forward_requests(reader, writer, upstream_writer),
+                self._forward_answers(upstream_reader, writer,
+                                      upstream_writer))
         except (OSError, asyncio.CancelledError):
             pass
         finally:
             del self._sent[writer]
             writer.close()
-            server[1].close()
+            upstream_writer.close()
 
-    async def _requests(self, reader, writer, upstream):
+    async def _forward_requests(self, reader, writer, upstream):
         while True:
-            block = await reader.read(BLOCK)
+            block = await reader.read(BLOCK_BYTES)
             if not block:
                 break
             self._sent[writer] = 0
@@ -116,44 +121,45 @@
             await upstream.drain()
         upstream.close()
 
-    async def _answers(self, upstream, writer, upstream_writer):
-        mine = writer
-        block = await upstream.read(BLOCK)
-        if block and self._spend("cut_after_request"):
+    async def _forward_answers(self, upstream, writer, upstream_writer):
+        own_writer = writer  # a swap replaces `writer`
+        block = await upstream.read(BLOCK_BYTES)
+        if block and self._use_fault("cut_after_request"):
             writer.transport.abort()
             upstream_writer.transport.abort()
             return
         if block and self.swap > 0:
-            writer = await self._swapped(writer)
-        if block and self._spend("duplicate"):
+            writer = await self._swap_writers(writer)
+        if block and self._use_fault("duplicate"):
             writer.write(block)
         while block:
             if self.delay:
                 await asyncio.sleep(self.delay)
             if self.throttle:
                 await asyncio.sleep(len(block) / self.throttle)
-            room = self.cut_after_bytes - self._sent[mine]
-            if self.cuts > 0 and len(block) > room:
-                self._spend("cuts")
-                writer.write(block[:max(room, 0)])
+            remaining = self.cut_after_bytes - self._sent[own_writer]
+            if self.cuts > 0 and len(block) > remaining:
+                self._use_fault("cuts")
+                writer.write(block[:max(remaining, 0)])
                 await writer.drain()
                 writer.close()
                 upstream_writer.transport.abort()
                 return
             writer.write(block)
-            self._sent[mine] += len(block)
+            self._sent[own_writer] += len(block)
             await writer.drain()
-            block = await upstream.read(BLOCK)
+            block = await upstream.read(BLOCK_BYTES)
         writer.close()
 
-    async def _swapped(self, writer):
-        """The writer of the other connection that waits here."""
-        mine = self._loop.create_future()
+    async def _swap_writers(self, writer):
+        """Returns the writer of the other connection, waiting until there is
+        one."""
+        future = self._loop.create_future()
         if self._waiting is None:
-            self._waiting = (writer, mine)
-            return await mine
-        other, future = self._waiting
+            self._waiting = (writer, future)
+            return await future
+        other_writer, other_future = self._waiting
         self._waiting = None
-        self._spend("swap")
-        future.set_result(writer)
-        return other
+        self._use_fault("swap")
+        other_future.set_result(writer)
+        return other_writer
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,5 +1,5 @@
-"""Stand-ins that speak the users' platform: its store, engines and plain
-services, in this process, with faults to switch on; and a router on them."""
+"""In-process stand-ins for the fleet platform form: the store, engines and
+plain services, with faults that tests switch on; starts routers on them."""
 import base64
 import http.client
 import json
@@ -16,7 +16,7 @@
                      wait_for)
 
 HEARTBEAT_S = 0.2
-WINDOW_S = 0.1  # for which the store counts calls
+RATE_WINDOW_S = 0.1  # in which the store counts calls
 
 
 class Handler(BaseHTTPRequestHandler):
@@ -39,7 +39,7 @@
         self.wfile.write(body)
 
     def cut(self):
-        """Reset the connection, as a process that dies."""
+        """Resets the connection, as a process that dies does."""
         self.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
                                    struct.pack("ii", 1, 0))
         self.connection.close()
@@ -55,7 +55,7 @@
 
 
 class Server:
-    """One HTTP server on a port that the system chooses, or a given one."""
+    """An HTTP server on `port`, or on one that the system chooses."""
 
     port = 0
 
@@ -84,14 +84,14 @@
     def __init__(self):
         self.lock = threading.Condition()
         self.topics = {}  # name -> [bytes]
-        self.epoch = 0  # how often it has come back from a copy
+        self.epoch = 0  # number of returns from an older copy
         self.down = False
         self.calls = 0
-        self.waits = set()  # topic and how long a read of it was to be held
-        self.list_s = 0  # how long the answer to a list takes
-        self.calls_at_most = None  # in each WINDOW_S; 429 for the others
-        self.window = (0, 0)  # which one, and calls made in it
-        self.refuse_first = 0  # of the next calls, so many get 429
+        self.waits = set()  # (topic, wait_ms) of the reads received
+        self.list_s = 0  # delay of the answer to a list, in seconds
+        self.calls_at_most = None  # per RATE_WINDOW_S; further calls get 429
+        self.window = (0, 0)  # number of the window, calls made in it
+        self.refuse_first = 0  # number of next calls that get 429
         self.turned_away = 0  # calls answered with 429
         super().__init__()
 
@@ -102,7 +102,7 @@
             return len(self.topics[topic]) - len(records)
 
     def put(self, topic, key, value):
-        """The newest record of a key; None drops the key."""
+        """Appends the newest record of a key; None removes the key."""
         text = b"" if value is None else json.dumps(value).encode()
         return self.append(topic, bytes([len(key)]) + key.encode() + text)
 
@@ -111,14 +111,15 @@
             return list(self.topics.get(topic, []))
 
     def copy(self):
-        """How many records each topic has now."""
+        """Returns the number of records of each topic, as a copy to return
+        to."""
         with self.lock:
             return {name: len(all_records)
                     for name, all_records in self.topics.items()}
 
     def come_back_older(self, copy):
-        """What was written after the copy is gone, and its offsets are given
-        out again; held reads end as at any outage. Returns what was lost."""
+        """Removes the records written after the copy and reuses their offsets.
+        Waiting reads end as in an outage. Returns the lost records."""
         lost = {}
         with self.lock:
             for name, all_records in self.topics.items():
@@ -130,15 +131,15 @@
         return lost
 
     def write_again(self, topic, lost, copy):
-        """The newest lost record of each key, as its writer would, unless it
-        has written a newer one since."""
+        """Appends the newest lost record of each key, as its writer would,
+        unless the writer has appended a newer one since the return."""
         with self.lock:
-            since = self.topics[topic][copy.get(topic, 0):]
-            written = {record[1:1 + record[0]] for record in since}
+            added = self.topics[topic][copy.get(topic, 0):]
+            added_keys = {record[1:1 + record[0]] for record in added}
             newest = {record[1:1 + record[0]]: record for record in lost}
             self.topics[topic].extend(
                 record for key, record in newest.items()
-                if key not in written)
+                if key not in added_keys)
             self.lock.notify_all()
 
     def answer(self, call, status, body=b"", epoch=None):
@@ -146,7 +147,7 @@
                    Store_Era=self.epoch if epoch is None else epoch)
 
     def is_within_rate(self):
-        """Whether one more call may be made in this window."""
+        """Counts a call; returns whether the rate allows it."""
         with self.lock:
             if self.refuse_first > 0:
                 self.refuse_first -= 1
@@ -154,11 +155,11 @@
                 return False
             if self.calls_at_most is None:
                 return True
-            now = int(time.monotonic() / WINDOW_S)
-            made = self.window[1] if self.window[0] == now else 0
-            self.window = (now, made + 1)
-            self.turned_away += made >= self.calls_at_most
-            return made < self.calls_at_most
+            now = int(time.monotonic() / RATE_WINDOW_S)
+            calls = self.window[1] if self.window[0] == now else 0
+            self.window = (now, calls + 1)
+            self.turned_away += calls >= self.calls_at_most
+            return calls < self.calls_at_most
 
     def handle(self, call):
         url = urlparse(call.path)
@@ -195,11 +196,11 @@
                    and epoch == self.epoch and time.monotonic() < end):
                 self.lock.wait(max(end - time.monotonic(), 0.001))
             all_records = list(self.topics.get(topic, []))
-            away = self.down or epoch != self.epoch
+            interrupted = self.down or epoch != self.epoch
         out = struct.pack(">QQ", len(all_records), 0)
         for record in all_records[start:]:
             out += struct.pack(">I", len(record)) + record
-        if away:
+        if interrupted:
             self.answer(call, 503, epoch=epoch)
         elif start > len(all_records):
             self.answer(call, 410, {"first": 0}, epoch)
@@ -224,7 +225,7 @@
 
 
 class Upstream(Server):
-    """An engine or a plain service; faults are attributes."""
+    """An engine or a plain service, whose attributes switch faults on."""
 
     def __init__(self, store, name, service, model=None, pieces=5):
         self.store = store
@@ -232,30 +233,30 @@
         self.service = service
         self.model = model
         self.version = 1
-        self.born = 1777568853587  # when it was started, in ms since 1970
+        self.born = 1777568853587  # start time, ms since 1970
         self.sequence = 0
         self.pieces = pieces
         self.seen = []      # headers of each request that ran
         self.callers = set()  # ports that requests came from
         self.orders = []
-        self.shed = False   # refuse as not run
-        self.cut_after = None  # events after which the stream is reset
-        self.cut_calls = False  # run a call and reset the connection
+        self.shed = False   # refuse requests as not run
+        self.cut_after = None  # number of events before a stream is reset
+        self.cut_calls = False  # run calls, then reset the connection
         self.status = 200
         self.pause_s = 0
-        self.gate = None    # something to wait for before each piece
-        self.queued = 0     # requests that it says wait there
-        self.probed = None  # something to wait for before it tells its state
-        self.forgets = False  # take one order and be as before it
-        self.late_order = None  # carried out at the report of this number
+        self.gate = None    # waited for before each event
+        self.queued = 0     # queue length that its reports state
+        self.probed = None  # waited for before each report or health answer
+        self.forgets = False  # accept one order and ignore it
+        self.late_order = None  # order to carry out at report late_report
         self.late_report = 0
         self.reports = 0
         self.state = "ready"
         self.sealed = True
-        self.limit = None   # what its answers say that it takes in a second
-        self.leaving = False  # say so in all answers
-        self.rest = None    # refuse, and ask for so many seconds of rest
-        self.arrivals = []  # when requests came, run or not
+        self.limit = None   # requests a second, as its answers state
+        self.leaving = False  # state it in all answers
+        self.rest = None    # refuse, with a Retry-After of so many seconds
+        self.arrivals = []  # arrival times of all requests, run or not
         super().__init__()
         self.list()
 
@@ -270,7 +271,7 @@
         self.store.put("keyed.servers", self.name, entry)
 
     def start_again(self):
-        """Under its name: it knows and holds nothing of before."""
+        """Restarts under the same name, without any earlier state."""
         self.born += 1000
         self.leaving = False
         self.rest = None
@@ -289,7 +290,8 @@
             self.carry_out_late()
             call.reply(200, {"models": [{"name": self.model,
                                          "version": self.version}],
-                             "born": self.born, "busy": False, "call_seq": self.sequence,
+                             "born": self.born, "busy": False,
+                             "call_seq": self.sequence,
                              "queued": self.queued, "running": 0},
                        **self.naming())
         elif call.path == "/v1/order":
@@ -323,7 +325,7 @@
             self.list()
 
     def naming(self, **headers):
-        """Headers of any answer."""
+        """Returns the headers that every answer carries."""
         if self.limit is not None:
             headers["Server_Limit"] = self.limit
         if self.leaving:
@@ -333,29 +335,31 @@
 
     def serve(self, call, body):
         self.arrivals.append(time.monotonic())
-        request = call.headers["X-Request-Id"]
-        wanted = call.headers.get("X-Expect-Version")
+        request_id = call.headers["X-Request-Id"]
+        expected_version = call.headers.get("X-Expect-Version")
         if call.headers.get("X-Expect-Instance") != self.name:
             call.reply(421, **self.naming(X_Instance_Id=self.name,
-                                          X_Request_Id=request))
-        elif wanted and int(wanted) != self.version:
+                                          X_Request_Id=request_id))
+        elif (expected_version
+              and int(expected_version) != self.version):
             call.reply(421, **self.naming(X_Instance_Id=self.name,
-                                          X_Request_Id=request))
+                                          X_Request_Id=request_id))
         elif self.shed or self.rest is not None:
             more = {} if self.rest is None else {"Retry_After": self.rest}
             call.reply(503, **self.naming(X_Not_Executed="1",
-                                          X_Request_Id=request, **more))
+                                          X_Request_Id=request_id, **more))
         else:
             self.callers.add(call.client_address[1])
             self.seen.append(dict(call.headers, **{":path": call.path}))
-            self.run(call, body, request)
+            self.run(call, body, request_id)
 
-    def run(self, call, body, request):
+    def run(self, call, body, request_id):
         time.sleep(self.pause_s)
         if self.cut_calls:
             call.cut()
             return
-        headers = self.naming(X_Request_Id=request, Content_Type="text/plain")
+        headers = self.naming(X_Request_Id=request_id,
+                              Content_Type="text/plain")
         if self.sealed:
             headers["X_Server_Seal"] = "seal-" + self.name
         if self.model is None:
@@ -374,21 +378,21 @@
         call.end_headers()
         last = int(call.headers.get("Last-Event-Id", -1))
         sent = 0
-        for place in range(last + 1, self.pieces):
+        for event_id in range(last + 1, self.pieces):
             if self.gate:
                 self.gate.wait(60)
             if self.cut_after is not None and sent >= self.cut_after:
                 call.wfile.write(b"6\r\nid: 99\r\n")  # inside an event
                 call.cut()
                 return
-            piece = b"id: %d\ndata: piece-%d\n\n" % (place, place)
-            call.wfile.write(b"%x\r\n%s\r\n" % (len(piece), piece))
+            event = b"id: %d\ndata: piece-%d\n\n" % (event_id, event_id)
+            call.wfile.write(b"%x\r\n%s\r\n" % (len(event), event))
             sent += 1
         call.wfile.write(b"0\r\n\r\n")
 
 
 class MortalEngine(Upstream):
-    """An engine whose process may die, and one that starts at its port."""
+    """An engine whose process may die and be replaced at the same port."""
 
     def __init__(self, store, name, port=0, **more):
         self.port = port
@@ -404,7 +408,7 @@
         super().handle(call)
 
     def kill(self):
-        """From now on no byte comes from this process."""
+        """Closes all connections; from now on the engine sends nothing."""
         self.dead = True
         self.close()
         for connection in list(self.calls):
@@ -418,18 +422,19 @@
 
 
 class CrashingEngine(MortalEngine):
-    """Its process ends as it begins to run a request whose body says so."""
+    """An engine that dies when it starts a request whose body begins with
+    CRASHES."""
 
     CRASHES = b"crash"
 
     def __init__(self, store, name, **more):
-        self.survives = False  # it runs such requests as any other
-        self.queue = None      # something to wait for before it begins any
-        self.waiting = 0       # requests that do
-        self.deadly = []       # when, and bodies, of those it ended under
+        self.survives = False  # run such requests as any other
+        self.queue = None      # waited for before each request starts
+        self.waiting = 0       # requests that have waited for `queue`
+        self.deadly = []       # (time, body) of each request that killed it
         super().__init__(store, name, **more)
 
-    def run(self, call, body, request):
+    def run(self, call, body, request_id):
         if self.queue:
             self.waiting += 1
             self.queue.wait(60)
@@ -437,10 +442,10 @@
             self.deadly.append((time.monotonic(), body))
             self.kill()
             return
-        super().run(call, body, request)
+        super().run(call, body, request_id)
 
     def revive(self):
-        """Another process of its name begins at its address."""
+        """Starts another process of the same name at the same address."""
         self.port = self.http.server_port
         self.calls.clear()
         Server.__init__(self)
@@ -449,7 +454,8 @@
 
 
 class SuspendableClock:
-    """For a router: its clocks that go on while a machine is suspended."""
+    """Shifts the clocks of a router that advance during a suspension of the
+    machine."""
 
     def __init__(self, folder, name="suspended"):
         self.path = os.path.join(folder, name)
@@ -461,7 +467,7 @@
             "ASAN_OPTIONS": "detect_leaks=1:verify_asan_link_order=0"}
 
     def suspend(self, seconds):
-        """As if it had been suspended for so long just now."""
+        """Simulates a suspension that has just lasted `seconds`."""
         self.seconds += seconds
         with open(self.path + ".new", "w") as file:
             file.write("%d\n" % self.seconds)
@@ -476,7 +482,7 @@
 
 
 class Fleet:
-    """A store, upstreams and routers; closed at the end of a test."""
+    """A store, upstreams and routers, which a test closes at its end."""
 
     def __init__(self):
         self.folder = tempfile.TemporaryDirectory()
@@ -521,7 +527,7 @@
 
     def launch(self, name="r1", peers=(), store_address=None, verbose=True,
                environment=None, **settings):
-        """A router whose process was started, and no more."""
+        """Starts a router's process without waiting for anything."""
         values = {"peers": dict({"listen": "127.0.0.1:0"}, **dict(peers)),
                   "relay": {"config_max_age": "60s", "reader_wait": "100ms",
                             "config_wait": "100ms", "leaving_limit": "800ms",
@@ -537,14 +543,14 @@
         with open(path, "w") as file:
             address = store_address or self.store.address
             file.write(SETTINGS % (name, key_hash(OPERATOR_KEY),
-                                         address, address))
+                                   address, address))
             for section, keys in values.items():
                 file.write("[%s]\n" % section)
                 for key, value in keys.items():
                     file.write("%s = %s\n" % (key, value))
-        level = ["--verbose"] if verbose else []
+        options = ["--verbose"] if verbose else []
         router = Process([os.path.join(BUILD, "wheattiller"), "router",
-                          *level, "--settings", path], environment)
+                          *options, "--settings", path], environment)
         router.path = path
         self.routers.append(router)
         return router
@@ -558,7 +564,8 @@
         return router
 
     def start(self, **settings):
-        """A router that knows a configuration and all upstreams."""
+        """Starts a router and waits until it has a configuration and all
+        upstreams."""
         if self.version == 0:
             self.config()
         router = self.router(**settings)
@@ -578,7 +585,7 @@
 
     def request(self, router, path, body=b"x", method="POST", key="key-a",
                 wait_ms=20000, **headers):
-        """Open a request; its response is not read yet."""
+        """Sends a request and returns its response with the body unread."""
         self.numbers += 1
         sent = {"Host": "shop.example", "X-Request-Id": "id%d" % self.numbers,
                 "X-Deadline-Ms": str(wait_ms)}
@@ -608,13 +615,13 @@
 
 
 def route(name, path, kind, service, **more):
-    found = {"name": name, "hostname": "shop.example", "path_prefix": path,
-             "kind": kind, "timeout_ms": 20000, "target_latency_ms": 500,
-             "priority": 1, "service": service, "max_attempts": 2,
-             "public": False, "sticky": kind == "stream", "resumable": False,
-             "gap_aim_ms": 500}
-    found.update(more)
-    return found
+    fields = {"name": name, "hostname": "shop.example", "path_prefix": path,
+              "kind": kind, "timeout_ms": 20000, "target_latency_ms": 500,
+              "priority": 1, "service": service, "max_attempts": 2,
+              "public": False, "sticky": kind == "stream",
+              "resumable": False, "gap_aim_ms": 500}
+    fields.update(more)
+    return fields
 
 
 ROUTES = [route("asks", "/ask/", "stream", "engines", resumable=True),
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -1,7 +1,7 @@
-"""Transcripts of whole sessions, compared with files in tests/golden/.
+"""Transcripts of sessions, compared with the files in tests/golden/.
 
-Ids, tokens, times and numbers of processes are replaced by names in the
-order of their first sight. WT_GOLDEN=write writes the files anew.
+Ids, keys, tokens and incarnations are replaced by names numbered in the order
+of their first occurrence, and times by T. WT_GOLDEN=write rewrites the files.
 """
 import json
 import os
@@ -14,7 +14,7 @@
     ("id", re.compile(r"\b[0-9a-f]{32}\b")),
     ("incarnation", re.compile(r"\b1\d{12}\b")),
 ]
-KEPT_HEADERS = ("Content-Type", "Retry-After", "X-Request-Id")
+COMPARED_HEADERS = ("Content-Type", "Retry-After", "X-Request-Id")
 
 
 class Transcript:
@@ -22,7 +22,7 @@
         self.name = name
         self.lines = []
         self.names = {}
-        self.equal = []  # (pattern, text) of what a race may decide
+        self.equal = []  # (pattern, replacement) for texts that a race decides
 
     def add(self, line):
         line = re.sub(r'"created":\d+', '"created":T', line)
@@ -40,12 +40,12 @@
             self.names[text] = "%s%d" % (kind, number)
         return "<%s>" % self.names[text]
 
-    def ask(self, what):
-        self.add("> " + what)
+    def ask(self, request):
+        self.add("> " + request)
 
     def answer(self, answer):
         self.add("< %d" % answer.status)
-        for name in KEPT_HEADERS:
+        for name in COMPARED_HEADERS:
             if name in answer.headers:
                 self.add("< %s: %s" % (name, answer.headers[name]))
         self.add("< " + answer.body.decode())
@@ -53,7 +53,7 @@
     def stream(self, stream, first=0):
         if first == 0:
             self.add("< %d" % stream.status)
-            for name in KEPT_HEADERS:
+            for name in COMPARED_HEADERS:
                 if name in stream.headers:
                     self.add("< %s: %s" % (name, stream.headers[name]))
         for event in stream.events[first:]:
@@ -65,6 +65,7 @@
             self.add("< (transfer broken off)")
 
     def logs(self, router, *events):
+        """Adds the router's log lines of these events."""
         for pairs in router.events():
             if pairs["event"] in events:
                 self.add("log %s %s" % (router.name, " ".join(
--- a/tests/pressing.py
+++ b/tests/pressing.py
@@ -1,4 +1,4 @@
-"""Sessions in which requests come to some routers at a rate."""
+"""Sends requests to routers at a given rate."""
 import itertools
 import time
 import unittest
@@ -11,12 +11,13 @@
 
 
 def press_in_turn(seconds, send, per_s=40):
-    """Statuses of what was sent, each once the one before was answered."""
-    began = time.monotonic()
+    """Sends requests one after the other, at most per_s a second, and returns
+    the statuses of the answers."""
+    start_s = time.monotonic()
     statuses = []
-    while time.monotonic() - began < seconds:
+    while time.monotonic() - start_s < seconds:
         statuses.append(send(len(statuses)).status)
-        due = began + len(statuses) / per_s
+        due = start_s + len(statuses) / per_s
         time.sleep(max(due - time.monotonic(), 0))
     return statuses
 
@@ -28,7 +29,7 @@
         self.asked = itertools.count()
 
     def start(self, count=1, **settings):
-        """So many routers that know each other and all upstreams."""
+        """Starts `count` routers that know each other and all upstreams."""
         self.fleet.config()
         routers = []
         for number in range(count):
@@ -46,22 +47,22 @@
                                  **settings)
 
     def ask(self, router, path="/ask/x"):
-        asked = next(self.asked)
-        more = {"X_Request_Id": "t%d" % asked}
+        number = next(self.asked)
+        more = {"X_Request_Id": "t%d" % number}
         if path.startswith("/ask"):
             more["X_Prompt_Prefix"] = "a%x:100,b%x:100,%x:100" % (
-                asked % PREFIXES, asked % PREFIXES, 4096 + asked)
+                number % PREFIXES, number % PREFIXES, 4096 + number)
         return self.fleet.ask(router, path, **more)
 
     def press(self, routers, seconds, path="/ask/x", per_s=40):
-        """Answers to requests at all of the routers in turn, each sent at its
-        time, however long the others take."""
-        began = time.monotonic()
+        """Sends requests to the routers in turn at per_s a second, without
+        waiting for earlier answers, and returns all answers."""
+        start_s = time.monotonic()
         with ThreadPoolExecutor(16) as pool:
-            asks = []
-            while time.monotonic() - began < seconds:
-                router = routers[len(asks) % len(routers)]
-                asks.append(pool.submit(self.ask, router, path))
-                due = began + len(asks) / per_s
+            futures = []
+            while time.monotonic() - start_s < seconds:
+                router = routers[len(futures) % len(routers)]
+                futures.append(pool.submit(self.ask, router, path))
+                due = start_s + len(futures) / per_s
                 time.sleep(max(due - time.monotonic(), 0))
-        return [ask.result() for ask in asks]
+        return [future.result() for future in futures]
--- a/tests/run.py
+++ b/tests/run.py
@@ -11,7 +11,8 @@
 from concurrent.futures import ThreadPoolExecutor
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
-# Each is one process, most of which wait; the whole takes under 15 minutes.
+# Most of these processes wait most of the time; a full run takes under 15
+# minutes.
 MODULES_AT_ONCE = 4
 SESSIONS_AT_ONCE = 2
 SESSIONS = os.path.join(ROOT, "tests", "sessions")
@@ -20,7 +21,7 @@
 
 
 def run_module(program):
-    """How many cases passed and failed."""
+    """Runs one check program; returns how many cases passed and failed."""
     done = subprocess.run([program], capture_output=True, text=True,
                           env=ENVIRONMENT)
     found = re.search(r"Checks: (\d+), Failures: (\d+), Errors: (\d+)",
@@ -42,23 +43,25 @@
                 if os.path.isfile(program)]
     with ThreadPoolExecutor(MODULES_AT_ONCE) as pool:
         counts = list(pool.map(run_module, programs))
-    return sum(good for good, _ in counts), sum(bad for _, bad in counts)
+    return (sum(passed for passed, _ in counts),
+            sum(failed for _, failed in counts))
 
 
 class TimedResult(unittest.TextTestResult):
-    """Says how long each test took."""
+    """Prints how long each successful test took."""
 
     def startTest(self, test):
-        self.began = time.monotonic()
+        self.start_s = time.monotonic()
         super().startTest(test)
 
     def addSuccess(self, test):
-        self.stream.write("(%.1f s) " % (time.monotonic() - self.began))
+        self.stream.write("(%.1f s) " % (time.monotonic() - self.start_s))
         super().addSuccess(test)
 
 
 def read_known_red():
-    """Names of tests that may fail for a fault that is listed."""
+    """Returns the names of the tests that KNOWN-RED.txt lists; their failures
+    do not count."""
     path = os.path.join(ROOT, "KNOWN-RED.txt")
     if not os.path.exists(path):
         return set()
@@ -67,8 +70,8 @@
 
 
 def count_failed(failed):
-    """Of the tests that failed those that are not listed; the others are
-    named."""
+    """Counts the failed tests that KNOWN-RED.txt does not list, and prints the
+    result of each listed test."""
     known = read_known_red()
     for name in sorted(known):
         print("KNOWN-RED %s: %s" % (name, "failed" if name in failed
@@ -76,9 +79,9 @@
     return len(failed - known)
 
 
-def play_sessions(name):
-    """Those of one file, in this process; the last line is the count of them
-    and the names of those that failed."""
+def run_file_here(name):
+    """Runs the session tests of one file in this process. The last line of
+    output is the number of tests and the names of those that failed."""
     sys.path[:0] = [os.path.join(ROOT, "tests"), SESSIONS]
     suite = unittest.defaultTestLoader.loadTestsFromName(name)
     result = unittest.TextTestRunner(stream=sys.stdout, verbosity=2,
@@ -88,7 +91,8 @@
 
 
 def run_session_file(name):
-    """How many tests ran, and the names of those that failed."""
+    """Runs one file in a process of its own; returns how many tests ran and
+    the names of those that failed."""
     done = subprocess.run(
         [sys.executable, os.path.abspath(__file__), "--sessions", name],
         stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True,
@@ -124,5 +128,5 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["--sessions"]:
-        sys.exit(play_sessions(sys.argv[2]))
+        sys.exit(run_file_here(sys.argv[2]))
     sys.exit(main())
