--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,7 +1,7 @@
 """Starts routers and stand-ins as processes on loopback and talks to them.
 
 Every wait is for a condition. Its time limit only ends a test that would
-hang; no test passes or fails by how long a wait took.
+hang; no other result depends on the limit.
 """
 import hashlib
 import http.client
@@ -274,7 +274,7 @@
             else:
                 section = "limits"
                 if key.startswith(("log", "command", "snapshot", "claim",
-                                     "lease", "order", "weight")):
+                                   "lease", "order", "weight")):
                     section = "platform"
                 if key == "bootstrap":
                     section = "router"
--- a/tests/faultproxy.py
+++ b/tests/faultproxy.py
@@ -1,6 +1,6 @@
-"""A TCP proxy that injects faults, which tests select by its attributes.
+"""A TCP proxy that injects faults; tests set them at run time as attributes.
 
-`injected` counts the faults, so that a test can check that they happened.
+`injected` counts the faults, so that a test can wait until one has happened.
 """
 import asyncio
 import threading
--- a/tests/sessions/test_attempts.py
+++ b/tests/sessions/test_attempts.py
@@ -87,13 +87,14 @@
         self.wait_listed(router, len(engines))
         sock = self.connect(router)
         first = wait_for(lambda: [e for e in engines
-                                  if e.gate.reached.is_set()], "it runs")[0]
+                                  if e.gate.reached.is_set()],
+                         "a request at an engine")[0]
         first.gate.open(self.PIECES)
         self.wait_engine_blocked(first)
         declare_new_weights(self.fleet)
         second = wait_for(lambda: [e for e in engines
                                    if e is not first and e.seen],
-                          "another engine is asked")[0]
+                          "a request at another engine")[0]
         self.read_bytes(sock, self.BUFFER // 2)
         second.gate.open(self.PIECES)
         router.wait_event("stream_moved")
@@ -203,7 +204,7 @@
         reader = threading.Thread(target=lambda: answers.append(
             self.fleet.ask(router, path)))
         reader.start()
-        wait_for(lambda: upstream.seen, "it runs")
+        wait_for(lambda: upstream.seen, "the request at the upstream")
         upstream.probed = threading.Event()
         self.addCleanup(upstream.probed.set)
         reader.join(4)
--- a/tests/sessions/test_moves.py
+++ b/tests/sessions/test_moves.py
@@ -28,7 +28,7 @@
             engine.pieces = 1  # the caller already has this one event
         self.fall_silent()
         wait_for(lambda: [e for e in self.others if e.seen],
-                 "another engine is asked")
+                 "a request at another engine")
         self.reader.join(5)
         # The answer ends while the first engine is still silent.
         self.assertFalse(self.reader.is_alive())
@@ -107,7 +107,7 @@
     def test_a_stream_whose_events_have_no_numbers_stays(self):
         self.start_stream("/ask/x")
         declare_new_weights(self.fleet)
-        wait_for(lambda: all(e.version == 2 for e in self.engines), "loaded")
+        wait_for(lambda: all(e.version == 2 for e in self.engines), "the load")
         for engine in self.engines:
             engine.gate.open()
         self.reader.join()
@@ -172,7 +172,7 @@
             engine.stream = self.send_one_chunk
         declare_new_weights(self.fleet)
         wait_for(lambda: self.router.events("stream_moved") or
-                 self.router.events("stream_stays"), "it is tried")
+                 self.router.events("stream_stays"), "the result of the move")
         self.first.gate.open()
         self.reader.join()
         self.assertEqual(self.router.events("stream_stays"), [])
@@ -197,7 +197,7 @@
         self.start_stream("/ask/x", **settings)
         self.fall_silent()
         return wait_for(lambda: [e for e in self.others if e.seen],
-                        "another engine is asked")[0]
+                        "a request at another engine")[0]
 
     def test_the_silent_engine_dies(self):
         second = self.start_hedge()
@@ -228,7 +228,7 @@
     def test_the_silent_engine_is_to_load_weights(self):
         second = self.start_hedge()
         declare_new_weights(self.fleet)
-        wait_for(lambda: all(e.version == 2 for e in self.others), "loaded")
+        wait_for(lambda: all(e.version == 2 for e in self.others), "the load")
         second.gate.open()
         self.assert_whole()
         self.assertEqual(sum(len(e.seen) for e in self.engines), 2)
@@ -237,7 +237,7 @@
         self.start_stream("/ask/x", token_timeout="100ms")
         declare_new_weights(self.fleet)
         second = wait_for(lambda: [e for e in self.others if e.seen],
-                          "another engine is asked")[0]
+                          "a request at another engine")[0]
         self.fall_silent()
         time.sleep(2)  # the router detects the silence
         second.gate.open()
