--- a/tests/FakeLogs.c
+++ b/tests/FakeLogs.c
@@ -3,13 +3,14 @@
 #include "Clock.h"
 #include "Errors.h"
 
-/* An answer takes up to so long, a lost one is given up after the second, and
- * an append that is late is carried out within the third. */
-#define ANSWER_MOST_MS 12
-#define GIVEN_UP_MS 80
-#define LATE_MOST_MS 500
-/* How often a read that is held is looked at. */
-#define HELD_LOOK_MS 4
+/* Longest delay of a call, and again of its answer. */
+#define DELAY_MAX_MS 12
+/* Time after which a call whose answer is lost fails with a timeout. */
+#define LOST_ANSWER_TIMEOUT_MS 80
+/* Longest delay of an append that is carried out late. */
+#define LATE_APPEND_MAX_MS 500
+/* Interval at which waiting reads and held back answers are checked. */
+#define POLL_INTERVAL_MS 4
 
 struct FakeLog {
     struct event_base *base;
@@ -17,22 +18,23 @@
     GPtrArray *records; /* GBytes, the first at offset 0 */
     guint64 start;
     guint64 epoch;
-    gboolean away;
+    gboolean unavailable;
     guint fault_percent;
-    GHashTable *steps; /* set of Step_t that are to come */
+    GHashTable *steps; /* set of pending Step_t */
 };
 
 typedef struct {
     LogClient_t super;
     FakeLog_t *log;
     StoreEpoch_t *epoch;
-    gint64 cut_until_ms;
+    gint64 held_until_ms;
 } Client_t;
 
-/* What happens at the log, or the answer to it, each after a while. */
+/* A pending call: its timer first runs the call at the log, then delivers the
+ * answer. */
 typedef struct Step {
     FakeLog_t *log;
-    Client_t *client; /* NULL once it is gone */
+    Client_t *client; /* NULL after the client was freed */
     struct event *timer;
     void (*run)(struct Step *this);
     GBytes *record;
@@ -94,9 +96,9 @@
 }
 
 void
-FakeLog_setAway(FakeLog_t *this, gboolean away)
+FakeLog_setUnavailable(FakeLog_t *this, gboolean unavailable)
 {
-    this->away = away;
+    this->unavailable = unavailable;
 }
 
 guint64
@@ -142,13 +144,12 @@
 }
 
 static gint64
-draw_ms(FakeLog_t *this, gint32 most)
+draw_ms(FakeLog_t *this, gint32 max_ms)
 {
-    return g_rand_int_range(this->random, 1, most + 1);
+    return g_rand_int_range(this->random, 1, max_ms + 1);
 }
 
-/* As a client of the store does: an answer of an epoch that is over is none.
- */
+/* Rejects an answer of an earlier epoch, as the product's clients do. */
 static GError *
 make_error(const Step_t *step)
 {
@@ -164,23 +165,23 @@
 }
 
 static void
-answer(Step_t *step)
+deliver_answer(Step_t *step)
 {
     if (!step->client) {
         g_hash_table_remove(step->log->steps, step);
         return;
     }
-    if (Clock_nowMs() < step->client->cut_until_ms) {
-        Clock_arm(step->timer, HELD_LOOK_MS);
+    if (Clock_nowMs() < step->client->held_until_ms) {
+        Clock_arm(step->timer, POLL_INTERVAL_MS);
         return;
     }
     g_autoptr(GError) error = make_error(step);
     LogRecords_t records = {step->first, step->found, step->start, step->head,
                             step->epoch};
-    gboolean tells =
+    gboolean has_records =
         !error || g_error_matches(error, WT_ERROR, WT_ERROR_TRUNCATED);
     if (step->read) {
-        step->read(tells ? &records : NULL, error, step->data);
+        step->read(has_records ? &records : NULL, error, step->data);
     }
     else {
         step->appended(step->first, error, step->data);
@@ -189,23 +190,23 @@
 }
 
 static void
-answer_after(Step_t *step, gint64 ms)
+schedule_answer(Step_t *step, gint64 ms)
 {
     step->epoch = step->log->epoch;
-    step->run = answer;
+    step->run = deliver_answer;
     Clock_arm(step->timer, ms);
 }
 
 static void
-fail(Step_t *step, ErrorKind_t error, gint64 after_ms)
+schedule_failure(Step_t *step, ErrorKind_t error, gint64 after_ms)
 {
     step->failed = TRUE;
     step->error = error;
-    answer_after(step, after_ms);
+    schedule_answer(step, after_ms);
 }
 
 static void
-take_records(Step_t *step)
+copy_records(Step_t *step)
 {
     FakeLog_t *log = step->log;
     step->found = g_ptr_array_new_with_free_func(free_bytes);
@@ -222,21 +223,21 @@
 run_read(Step_t *step)
 {
     FakeLog_t *log = step->log;
-    if (log->away) {
-        fail(step, WT_ERROR_CUT, 1);
+    if (log->unavailable) {
+        schedule_failure(step, WT_ERROR_CUT, 1);
         return;
     }
     if (step->from < log->start || step->from > log->records->len) {
         step->start = log->start;
-        fail(step, WT_ERROR_TRUNCATED, 1);
+        schedule_failure(step, WT_ERROR_TRUNCATED, 1);
         return;
     }
     if (step->from == log->records->len && Clock_nowMs() < step->until_ms) {
-        Clock_arm(step->timer, HELD_LOOK_MS);
+        Clock_arm(step->timer, POLL_INTERVAL_MS);
         return;
     }
-    take_records(step);
-    answer_after(step, draw_ms(log, ANSWER_MOST_MS));
+    copy_records(step);
+    schedule_answer(step, draw_ms(log, DELAY_MAX_MS));
 }
 
 static void
@@ -246,7 +247,7 @@
     (void)stream;
     Client_t *client = (Client_t *)super;
     Step_t *step =
-        add_step(client, run_read, draw_ms(client->log, ANSWER_MOST_MS));
+        add_step(client, run_read, draw_ms(client->log, DELAY_MAX_MS));
     step->from = from;
     step->until_ms = Clock_nowMs() + wait_ms;
     step->read = done;
@@ -254,16 +255,16 @@
 }
 
 static void
-store(const Step_t *step)
+store_record(const Step_t *step)
 {
     g_ptr_array_add(step->log->records, g_bytes_ref(step->record));
 }
 
 static void
-run_late(Step_t *step)
+run_late_append(Step_t *step)
 {
-    if (!step->log->away) {
-        store(step);
+    if (!step->log->unavailable) {
+        store_record(step);
     }
     g_hash_table_remove(step->log->steps, step);
 }
@@ -272,25 +273,25 @@
 run_append(Step_t *step)
 {
     FakeLog_t *log = step->log;
-    if (log->away) {
-        fail(step, WT_ERROR_CUT, 1);
+    if (log->unavailable) {
+        schedule_failure(step, WT_ERROR_CUT, 1);
         return;
     }
     guint draw = (guint)g_rand_int_range(log->random, 0, 100);
     if (draw < log->fault_percent / 2 && step->client) {
-        Step_t *late =
-            add_step(step->client, run_late, draw_ms(log, LATE_MOST_MS));
+        Step_t *late = add_step(step->client, run_late_append,
+                                draw_ms(log, LATE_APPEND_MAX_MS));
         late->record = g_bytes_ref(step->record);
-        fail(step, WT_ERROR_TIMEOUT, GIVEN_UP_MS);
+        schedule_failure(step, WT_ERROR_TIMEOUT, LOST_ANSWER_TIMEOUT_MS);
         return;
     }
     step->first = log->records->len;
-    store(step);
+    store_record(step);
     if (draw < log->fault_percent) {
-        fail(step, WT_ERROR_TIMEOUT, GIVEN_UP_MS);
+        schedule_failure(step, WT_ERROR_TIMEOUT, LOST_ANSWER_TIMEOUT_MS);
         return;
     }
-    answer_after(step, draw_ms(log, ANSWER_MOST_MS));
+    schedule_answer(step, draw_ms(log, DELAY_MAX_MS));
 }
 
 static void
@@ -300,7 +301,7 @@
     (void)stream;
     Client_t *client = (Client_t *)super;
     Step_t *step =
-        add_step(client, run_append, draw_ms(client->log, ANSWER_MOST_MS));
+        add_step(client, run_append, draw_ms(client->log, DELAY_MAX_MS));
     step->record = g_bytes_ref(record);
     step->appended = done;
     step->data = data;
@@ -335,7 +336,7 @@
 }
 
 void
-FakeLog_setCut(LogClient_t *client, gint64 ms)
+FakeLog_delayAnswers(LogClient_t *client, gint64 ms)
 {
-    ((Client_t *)client)->cut_until_ms = Clock_nowMs() + ms;
+    ((Client_t *)client)->held_until_ms = Clock_nowMs() + ms;
 }
--- a/tests/FakeRates.c
+++ b/tests/FakeRates.c
@@ -14,32 +14,34 @@
 #define WINDOW_MS 8000
 #define SHORT_WINDOW_MS 4000
 #define START_MS 1000000
-/* Messages take one to three milliseconds, and one in so many is lost. */
+/* Slots of one millisecond for messages in transit: a message takes one to
+ * three milliseconds. */
 #define DELAY_SLOTS 4
+/* One message in this number is lost. */
 #define LOSS_ONE_IN 2000
-/* Another limit is known everywhere after so long. */
-#define CONFIG_MS 1000
+/* Time within which all routers learn of a changed limit. */
+#define CONFIG_DELAY_MAX_MS 1000
 
-typedef struct Play Play_t;
+typedef struct Simulation Simulation_t;
 
 typedef struct {
-    Play_t *play;
+    Simulation_t *sim;
     guint64 id;
     RateKeeper_t *keeper;
     RateLimits_t *limits;
-    gint64 back_ms;   /* is down until then */
-    gint64 awake_ms;  /* stands still until then */
-    gint64 wakes_ms;  /* 0 for none */
-    gint64 knows_ms;  /* when it learns of the newest limit */
-    gint64 full_ms;   /* an upstream has no room until then */
-    guint part;       /* of the network */
-    gint64 lag_ms;    /* until it handles what comes */
-    gint64 lags_ms;   /* lags until then */
-    GPtrArray *inbox; /* Message_t that came while it stood still */
+    gint64 down_until_ms;     /* end of the time that it is down */
+    gint64 paused_until_ms;   /* end of a pause */
+    gint64 tick_at_ms;        /* time of the next tick; 0 for none */
+    gint64 limit_known_at_ms; /* time at which it learns of the newest limit */
+    gint64 refused_until_ms;  /* requests are refused locally until then */
+    guint partition;          /* of the network */
+    gint64 lag_ms;            /* delay of received messages */
+    gint64 lag_until_ms;      /* end of the time with that delay */
+    GPtrArray *inbox;         /* Message_t received but not yet handled */
 } Node_t;
 
 typedef struct {
-    gint64 due_ms; /* where the one it is for lags */
+    gint64 due_ms; /* when a lagging receiver handles it */
     guint from;
     guint to;
     guint8 *bytes;
@@ -47,25 +49,25 @@
 } Message_t;
 
 typedef struct {
-    Play_t *play;
+    Simulation_t *sim;
     double units;
-    gint64 asked_ms;
+    gint64 created_ms;
     Node_t *node;
-    RateQuery_t *ask;
+    RateQuery_t *query;
 } Request_t;
 
-struct Play {
+struct Simulation {
     const FakeRatesSpec_t *spec;
     Node_t nodes[FAKE_RATES_MAX];
-    GPtrArray *slots[DELAY_SLOTS]; /* Message_t by when they arrive */
+    GPtrArray *slots[DELAY_SLOTS]; /* Message_t by time of arrival */
     Counters_t *counters;
-    GHashTable *open; /* Request_t under way */
+    GHashTable *pending; /* set of Request_t that await a decision */
     RateLimit_t limit;
-    RateLimit_t before;
-    TokenBucket_t ideal;
+    RateLimit_t previous_limit;
+    TokenBucket_t ideal_bucket;
     gint64 now_ms;
-    double highest;
-    double *admitted; /* units of each millisecond */
+    double highest_per_s;
+    double *admitted; /* units admitted in each millisecond */
     double waits_ms;
     FakeRatesResult_t result;
 };
@@ -79,43 +81,43 @@
 }
 
 static double
-draw_part(void)
+draw_fraction(void)
 {
     return (Random_below(1000000) + 0.5) / 1000000;
 }
 
 static gboolean
-chance(double per_s)
+draw_event(double per_s)
 {
-    return draw_part() < per_s / 1000;
+    return draw_fraction() < per_s / 1000;
 }
 
 static gboolean
 is_up(const Node_t *node)
 {
-    return node->play->now_ms >= node->back_ms;
+    return node->sim->now_ms >= node->down_until_ms;
 }
 
 static gboolean
 is_running(const Node_t *node)
 {
-    return is_up(node) && node->play->now_ms >= node->awake_ms;
+    return is_up(node) && node->sim->now_ms >= node->paused_until_ms;
 }
 
 static gboolean
-lags(const Node_t *node)
+is_lagging(const Node_t *node)
 {
-    return node->play->now_ms < node->lags_ms;
+    return node->sim->now_ms < node->lag_until_ms;
 }
 
 static guint64
 weight_of(guint64 router)
 {
-    guint64 mixed = router * G_GUINT64_CONSTANT(0x9E3779B97F4A7C15);
-    return mixed ^ mixed >> 29;
+    guint64 hash = router * G_GUINT64_CONSTANT(0x9E3779B97F4A7C15);
+    return hash ^ hash >> 29;
 }
 
-/* The first in the order of their weights. */
+/* Returns the routers with the largest weights, in descending order. */
 static guint
 find_candidates(void *owner, const char *subject,
                 guint64 out[RATE_CANDIDATES_MAX])
@@ -123,7 +125,7 @@
     (void)subject;
     const Node_t *this = owner;
     guint count = 0;
-    for (guint64 id = 1; id <= this->play->spec->routers; id++) {
+    for (guint64 id = 1; id <= this->sim->spec->routers; id++) {
         guint at = count;
         while (at > 0 && weight_of(out[at - 1]) < weight_of(id)) {
             at--;
@@ -144,20 +146,20 @@
 static guint
 count_routers(void *owner)
 {
-    return ((Node_t *)owner)->play->spec->routers;
+    return ((Node_t *)owner)->sim->spec->routers;
 }
 
 static guint
 count_for_share(const void *owner)
 {
-    return ((const Node_t *)owner)->play->spec->routers;
+    return ((const Node_t *)owner)->sim->spec->routers;
 }
 
 static void
 draw_sample(void *owner, ReachSample_t *out)
 {
     const Node_t *this = owner;
-    out->others = this->play->spec->routers - 1;
+    out->others = this->sim->spec->routers - 1;
     out->drawn = MIN(out->others, REACH_SAMPLE_MAX);
     guint64 start = Random_below(out->others);
     guint stride = out->others / MAX(out->drawn, 1);
@@ -171,10 +173,10 @@
 send_message(void *owner, guint64 router, const Wt__PeerMessage *message)
 {
     const Node_t *this = owner;
-    Play_t *play = this->play;
-    play->result.messages++;
-    const Node_t *to = &play->nodes[router - 1];
-    if (Random_below(LOSS_ONE_IN) == 0 || to->part != this->part) {
+    Simulation_t *sim = this->sim;
+    sim->result.messages++;
+    const Node_t *to = &sim->nodes[router - 1];
+    if (Random_below(LOSS_ONE_IN) == 0 || to->partition != this->partition) {
         return;
     }
     Message_t *copy = g_new(Message_t, 1);
@@ -183,17 +185,17 @@
     copy->size = wt__peer_message__get_packed_size(message);
     copy->bytes = g_malloc(copy->size + 1);
     wt__peer_message__pack(message, copy->bytes);
-    gint64 at = play->now_ms + 1 + Random_below(DELAY_SLOTS - 1);
-    g_ptr_array_add(play->slots[at % DELAY_SLOTS], copy);
+    gint64 at = sim->now_ms + 1 + Random_below(DELAY_SLOTS - 1);
+    g_ptr_array_add(sim->slots[at % DELAY_SLOTS], copy);
 }
 
 static void
 schedule_tick(void *owner, gint64 in_ms)
 {
     Node_t *this = owner;
-    gint64 at_ms = this->play->now_ms + MAX(in_ms, 0);
-    if (this->wakes_ms == 0 || at_ms < this->wakes_ms) {
-        this->wakes_ms = at_ms;
+    gint64 at_ms = this->sim->now_ms + MAX(in_ms, 0);
+    if (this->tick_at_ms == 0 || at_ms < this->tick_at_ms) {
+        this->tick_at_ms = at_ms;
     }
 }
 
@@ -206,80 +208,80 @@
 };
 
 static void
-start(Node_t *node)
+start_router(Node_t *node)
 {
-    if (node->play->spec->way == FAKE_RATES_SHARE) {
+    if (node->sim->spec->method == FAKE_RATES_SHARE) {
         node->limits = RateShare_create(count_for_share, node);
         return;
     }
-    node->keeper = RateKeeper_create(&links, node, node->play->counters);
+    node->keeper = RateKeeper_create(&links, node, node->sim->counters);
     node->limits = RateKeeper_limits(node->keeper);
 }
 
 static gboolean
-is_at(gpointer key, gpointer value, gpointer node)
+is_request_at(gpointer key, gpointer value, gpointer node)
 {
     (void)key;
     return ((const Request_t *)value)->node == node;
 }
 
 static void
-stop(Node_t *node)
+stop_router(Node_t *node)
 {
-    g_hash_table_foreach_remove(node->play->open, is_at, node);
+    g_hash_table_foreach_remove(node->sim->pending, is_request_at, node);
     RateLimits_destroy(node->limits);
     g_ptr_array_set_size(node->inbox, 0);
-    node->wakes_ms = 0;
+    node->tick_at_ms = 0;
 }
 
 static RateLimit_t
-limit_of(const FakeRatesSpec_t *spec, double per_s, guint64 version)
+make_limit(const FakeRatesSpec_t *spec, double per_s, guint64 version)
 {
-    UpstreamLimit_t named = {TRUE, per_s, version};
-    return spec->of_upstream ? UpstreamLimit_rate(&named)
-                             : (RateLimit_t){per_s, per_s, version};
+    UpstreamLimit_t advertised = {TRUE, per_s, version};
+    return spec->is_upstream_limit ? UpstreamLimit_rate(&advertised)
+                                   : (RateLimit_t){per_s, per_s, version};
 }
 
 static void
-begin(Play_t *play, const FakeRatesSpec_t *spec)
-{
-    *play = (Play_t){.spec = spec, .now_ms = START_MS};
-    play->counters = Counters_create();
-    play->open = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-    play->limit = limit_of(spec, spec->per_s, 1);
-    play->before = play->limit;
-    play->highest = spec->per_s;
-    TokenBucket_init(&play->ideal, &play->limit, 0, START_MS);
-    play->admitted = g_new0(double, spec->seconds * 1000);
+init_simulation(Simulation_t *sim, const FakeRatesSpec_t *spec)
+{
+    *sim = (Simulation_t){.spec = spec, .now_ms = START_MS};
+    sim->counters = Counters_create();
+    sim->pending = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+    sim->limit = make_limit(spec, spec->per_s, 1);
+    sim->previous_limit = sim->limit;
+    sim->highest_per_s = spec->per_s;
+    TokenBucket_init(&sim->ideal_bucket, &sim->limit, 0, START_MS);
+    sim->admitted = g_new0(double, spec->seconds * 1000);
     for (guint i = 0; i < DELAY_SLOTS; i++) {
-        play->slots[i] = g_ptr_array_new_with_free_func(free_message);
+        sim->slots[i] = g_ptr_array_new_with_free_func(free_message);
     }
     for (guint i = 0; i < spec->routers; i++) {
-        Node_t *node = &play->nodes[i];
-        node->play = play;
+        Node_t *node = &sim->nodes[i];
+        node->sim = sim;
         node->id = i + 1;
         node->inbox = g_ptr_array_new_with_free_func(free_message);
-        start(node);
+        start_router(node);
     }
 }
 
 static void
-end(Play_t *play)
+clear_simulation(Simulation_t *sim)
 {
-    for (guint i = 0; i < play->spec->routers; i++) {
-        stop(&play->nodes[i]);
-        g_ptr_array_unref(play->nodes[i].inbox);
+    for (guint i = 0; i < sim->spec->routers; i++) {
+        stop_router(&sim->nodes[i]);
+        g_ptr_array_unref(sim->nodes[i].inbox);
     }
     for (guint i = 0; i < DELAY_SLOTS; i++) {
-        g_ptr_array_unref(play->slots[i]);
+        g_ptr_array_unref(sim->slots[i]);
     }
-    g_hash_table_destroy(play->open);
-    Counters_destroy(play->counters);
-    g_free(play->admitted);
+    g_hash_table_destroy(sim->pending);
+    Counters_destroy(sim->counters);
+    g_free(sim->admitted);
 }
 
 static void
-take(Node_t *node, const Message_t *message)
+receive_message(Node_t *node, const Message_t *message)
 {
     Wt__PeerMessage *unpacked =
         wt__peer_message__unpack(NULL, message->size, message->bytes);
@@ -288,19 +290,20 @@
 }
 
 static void
-deliver(Play_t *play)
+deliver_messages(Simulation_t *sim)
 {
-    GPtrArray *due = play->slots[play->now_ms % DELAY_SLOTS];
-    play->slots[play->now_ms % DELAY_SLOTS] =
+    GPtrArray *due = sim->slots[sim->now_ms % DELAY_SLOTS];
+    sim->slots[sim->now_ms % DELAY_SLOTS] =
         g_ptr_array_new_with_free_func(free_message);
     for (guint i = 0; i < due->len; i++) {
         Message_t *message = g_ptr_array_index(due, i);
-        Node_t *node = &play->nodes[message->to - 1];
-        if (is_running(node) && !lags(node)) {
-            take(node, message);
+        Node_t *node = &sim->nodes[message->to - 1];
+        if (is_running(node) && !is_lagging(node)) {
+            receive_message(node, message);
         }
         else if (is_up(node)) {
-            message->due_ms = lags(node) ? play->now_ms + node->lag_ms : 0;
+            message->due_ms =
+                is_lagging(node) ? sim->now_ms + node->lag_ms : 0;
             g_ptr_array_add(node->inbox, message);
             due->pdata[i] = NULL;
         }
@@ -315,15 +318,15 @@
 }
 
 static void
-take_due(Node_t *node)
+receive_due_messages(Node_t *node)
 {
     guint count = 0;
     while (count < node->inbox->len) {
         const Message_t *message = g_ptr_array_index(node->inbox, count);
-        if (message->due_ms > node->play->now_ms) {
+        if (message->due_ms > node->sim->now_ms) {
             break;
         }
-        take(node, message);
+        receive_message(node, message);
         count++;
     }
     if (count > 0) {
@@ -332,239 +335,243 @@
 }
 
 static void
-wake_up(Node_t *node)
+run_router(Node_t *node)
 {
     if (!is_running(node)) {
         return;
     }
-    take_due(node);
-    if (node->wakes_ms > 0 && node->wakes_ms <= node->play->now_ms) {
-        node->wakes_ms = 0;
+    receive_due_messages(node);
+    if (node->tick_at_ms > 0 && node->tick_at_ms <= node->sim->now_ms) {
+        node->tick_at_ms = 0;
         RateKeeper_tick(node->keeper);
     }
 }
 
 static void
-note_verdict(Request_t *request, const RateVerdict_t *verdict)
+record_verdict(Request_t *request, const RateVerdict_t *verdict)
 {
-    Play_t *play = request->play;
-    gint64 waited_ms = play->now_ms - request->asked_ms;
-    play->waits_ms += (double)waited_ms;
-    play->result.waited_ms = MAX(play->result.waited_ms, waited_ms);
+    Simulation_t *sim = request->sim;
+    gint64 waited_ms = sim->now_ms - request->created_ms;
+    sim->waits_ms += (double)waited_ms;
+    sim->result.max_wait_ms = MAX(sim->result.max_wait_ms, waited_ms);
     if (!verdict->admitted) {
-        play->result.refused++;
-        request->node->full_ms = play->now_ms + verdict->retry_after_ms;
+        sim->result.refused++;
+        request->node->refused_until_ms =
+            sim->now_ms + verdict->retry_after_ms;
         return;
     }
-    play->result.admitted_units += request->units;
-    play->admitted[play->now_ms - START_MS] += request->units;
+    sim->result.admitted_units += request->units;
+    sim->admitted[sim->now_ms - START_MS] += request->units;
 }
 
 static void
 on_verdict(void *owner, const RateVerdict_t *verdict)
 {
     Request_t *request = owner;
-    note_verdict(request, verdict);
-    g_hash_table_remove(request->play->open, request);
+    record_verdict(request, verdict);
+    g_hash_table_remove(request->sim->pending, request);
 }
 
 static void
-ask(Play_t *play, Node_t *node)
+make_request(Simulation_t *sim, Node_t *node)
 {
     Request_t *request = g_new0(Request_t, 1);
-    gboolean knows = play->now_ms >= node->knows_ms;
+    gboolean knows_limit = sim->now_ms >= node->limit_known_at_ms;
     RateRequest_t rate = {
         .subject = CUSTOMER,
-        .limit = knows ? play->limit : play->before,
-        .units = play->spec->of_upstream
+        .limit = knows_limit ? sim->limit : sim->previous_limit,
+        .units = sim->spec->is_upstream_limit
                      ? 1
-                     : -log(draw_part()) * play->spec->units,
+                     : -log(draw_fraction()) * sim->spec->units,
     };
     RateVerdict_t verdict = {.admitted = TRUE};
-    request->play = play;
+    request->sim = sim;
     request->node = node;
     request->units = rate.units;
-    request->asked_ms = play->now_ms;
-    play->result.asked++;
-    play->result.asked_units += rate.units;
-    gboolean fits = TokenBucket_take(&play->ideal, rate.units, play->now_ms);
-    play->result.refused_by_one += fits ? 0 : 1;
-    if (play->spec->of_upstream && play->now_ms < node->full_ms) {
-        play->result.refused++;
+    request->created_ms = sim->now_ms;
+    sim->result.requests++;
+    sim->result.requested_units += rate.units;
+    gboolean fits =
+        TokenBucket_take(&sim->ideal_bucket, rate.units, sim->now_ms);
+    sim->result.ideal_refused += fits ? 0 : 1;
+    if (sim->spec->is_upstream_limit && sim->now_ms < node->refused_until_ms) {
+        sim->result.refused++;
         g_free(request);
         return;
     }
-    play->result.asked_keeper++;
-    RateQuery_t *under_way =
-        play->spec->way == FAKE_RATES_NONE
+    sim->result.acquire_calls++;
+    RateQuery_t *query =
+        sim->spec->method == FAKE_RATES_NONE
             ? NULL
             : RateLimits_acquire(node->limits, &rate, &verdict, on_verdict,
                                  request);
-    if (under_way) {
-        g_hash_table_add(play->open, request);
+    if (query) {
+        g_hash_table_add(sim->pending, request);
         return;
     }
-    note_verdict(request, &verdict);
+    record_verdict(request, &verdict);
     g_free(request);
 }
 
 static void
-arrive(Play_t *play)
+make_requests(Simulation_t *sim)
 {
-    const FakeRatesSpec_t *spec = play->spec;
+    const FakeRatesSpec_t *spec = sim->spec;
     double per_ms = spec->load * spec->per_s / spec->units / 1000;
-    while (draw_part() < per_ms) {
-        Node_t *node = &play->nodes[Random_below(spec->callers_at)];
+    while (draw_fraction() < per_ms) {
+        Node_t *node = &sim->nodes[Random_below(spec->caller_routers)];
         if (is_running(node)) {
-            ask(play, node);
+            make_request(sim, node);
         }
         per_ms -= 1;
     }
 }
 
 static void
-kill_one(Node_t *node, gint64 for_ms)
+kill_router(Node_t *node, gint64 for_ms)
 {
     if (is_up(node)) {
-        stop(node);
-        start(node);
-        node->back_ms = node->play->now_ms + for_ms;
+        stop_router(node);
+        start_router(node);
+        node->down_until_ms = node->sim->now_ms + for_ms;
     }
 }
 
 static void
-kill_some(Play_t *play)
+kill_routers(Simulation_t *sim)
 {
     gint64 for_ms = 500 + Random_below(2000);
     gboolean all = Random_below(3) == 0;
     guint one_in = 1 + Random_below(10);
-    for (guint i = 0; i < play->spec->routers; i++) {
+    for (guint i = 0; i < sim->spec->routers; i++) {
         if (all || Random_below(one_in) == 0) {
-            kill_one(&play->nodes[i], for_ms);
+            kill_router(&sim->nodes[i], for_ms);
         }
     }
 }
 
 static void
-pause_some(Play_t *play)
+pause_routers(Simulation_t *sim)
 {
-    gint64 until_ms = play->now_ms + 500 + Random_below(4000);
+    gint64 until_ms = sim->now_ms + 500 + Random_below(4000);
     guint one_in = 1 + Random_below(20);
-    for (guint i = 0; i < play->spec->routers; i++) {
+    for (guint i = 0; i < sim->spec->routers; i++) {
         if (Random_below(one_in) == 0) {
-            play->nodes[i].awake_ms = until_ms;
+            sim->nodes[i].paused_until_ms = until_ms;
         }
     }
 }
 
-/* The one that keeps the count is among them each second time, as it has the
- * most to do. */
+/* Delays the messages of random routers. The keeper of the customer's count is
+ * included half of the time, as it has the highest load. */
 static void
-slow_some(Play_t *play)
+delay_routers(Simulation_t *sim)
 {
     guint one_in = 1 + Random_below(20);
     guint64 order[RATE_CANDIDATES_MAX];
-    find_candidates(&play->nodes[0], CUSTOMER, order);
+    find_candidates(&sim->nodes[0], CUSTOMER, order);
     guint64 keeper = order[0] == RATE_SELF ? 1 : order[0];
-    for (guint i = 0; i < play->spec->routers; i++) {
-        Node_t *node = &play->nodes[i];
+    for (guint i = 0; i < sim->spec->routers; i++) {
+        Node_t *node = &sim->nodes[i];
         gboolean keeps = node->id == keeper && Random_below(2) == 0;
         if (keeps || Random_below(one_in) == 0) {
             node->lag_ms = 10 + Random_below(1000);
-            node->lags_ms = play->now_ms + 500 + Random_below(4000);
+            node->lag_until_ms = sim->now_ms + 500 + Random_below(4000);
         }
     }
 }
 
 static void
-cut_some(Play_t *play)
+partition_network(Simulation_t *sim)
 {
-    gboolean heals =
-        play->nodes[0].part != play->nodes[1].part || Random_below(2) == 0;
+    gboolean heals = sim->nodes[0].partition != sim->nodes[1].partition ||
+                     Random_below(2) == 0;
     guint percent = 10 + Random_below(50);
-    for (guint i = 0; i < play->spec->routers; i++) {
-        play->nodes[i].part = !heals && Random_below(100) < percent ? 1 : 0;
+    for (guint i = 0; i < sim->spec->routers; i++) {
+        sim->nodes[i].partition =
+            !heals && Random_below(100) < percent ? 1 : 0;
     }
 }
 
 static void
-change_limit(Play_t *play)
+change_limit(Simulation_t *sim)
 {
-    play->before = play->limit;
-    double per_s = play->spec->per_s * (0.2 + 1.8 * draw_part());
-    play->limit = limit_of(play->spec, per_s, play->limit.version + 1);
-    TokenBucket_setLimit(&play->ideal, &play->limit, play->now_ms);
-    for (guint i = 0; i < play->spec->routers; i++) {
-        play->nodes[i].knows_ms = play->now_ms + Random_below(CONFIG_MS);
+    sim->previous_limit = sim->limit;
+    double per_s = sim->spec->per_s * (0.2 + 1.8 * draw_fraction());
+    sim->limit = make_limit(sim->spec, per_s, sim->limit.version + 1);
+    TokenBucket_setLimit(&sim->ideal_bucket, &sim->limit, sim->now_ms);
+    for (guint i = 0; i < sim->spec->routers; i++) {
+        sim->nodes[i].limit_known_at_ms =
+            sim->now_ms + Random_below(CONFIG_DELAY_MAX_MS);
     }
-    play->highest = MAX(play->highest, per_s);
+    sim->highest_per_s = MAX(sim->highest_per_s, per_s);
 }
 
 static void
-break_something(Play_t *play)
+inject_faults(Simulation_t *sim)
 {
-    const FakeRatesSpec_t *spec = play->spec;
-    if (spec->kills && chance(0.3)) {
-        kill_some(play);
+    const FakeRatesSpec_t *spec = sim->spec;
+    if (spec->kills && draw_event(0.3)) {
+        kill_routers(sim);
     }
-    if (spec->pauses && chance(0.3)) {
-        pause_some(play);
+    if (spec->pauses && draw_event(0.3)) {
+        pause_routers(sim);
     }
-    if (spec->lags && chance(0.4)) {
-        slow_some(play);
+    if (spec->lags && draw_event(0.4)) {
+        delay_routers(sim);
     }
-    if (spec->cuts && chance(0.4)) {
-        cut_some(play);
+    if (spec->cuts && draw_event(0.4)) {
+        partition_network(sim);
     }
-    if (spec->changes && chance(0.2)) {
-        change_limit(play);
+    if (spec->changes && draw_event(0.2)) {
+        change_limit(sim);
     }
 }
 
 static double
-most_of(const Play_t *play, gint64 window_ms)
+find_peak(const Simulation_t *sim, gint64 window_ms)
 {
-    gint64 length = (gint64)play->spec->seconds * 1000;
-    double most = 0;
+    gint64 length = (gint64)sim->spec->seconds * 1000;
+    double peak = 0;
     double sum = 0;
     for (gint64 at = 0; at < length; at++) {
-        sum += play->admitted[at];
-        sum -= at >= window_ms ? play->admitted[at - window_ms] : 0;
-        most = MAX(most, sum);
+        sum += sim->admitted[at];
+        sum -= at >= window_ms ? sim->admitted[at - window_ms] : 0;
+        peak = MAX(peak, sum);
     }
-    return most;
+    return peak;
 }
 
 static void
-measure(Play_t *play)
+compute_result(Simulation_t *sim)
 {
-    double allowed = play->highest * (WINDOW_MS / 1000.0 + 1);
-    double excess = most_of(play, WINDOW_MS) - allowed;
-    play->result.excess = excess / play->highest;
-    play->result.most = most_of(play, SHORT_WINDOW_MS);
-    play->result.mean_wait_ms = play->waits_ms / MAX(play->result.asked, 1);
+    double allowed = sim->highest_per_s * (WINDOW_MS / 1000.0 + 1);
+    double excess = find_peak(sim, WINDOW_MS) - allowed;
+    sim->result.excess = excess / sim->highest_per_s;
+    sim->result.peak_units = find_peak(sim, SHORT_WINDOW_MS);
+    sim->result.mean_wait_ms = sim->waits_ms / MAX(sim->result.requests, 1);
 }
 
 FakeRatesResult_t
-FakeRates_play(const FakeRatesSpec_t *spec)
+FakeRates_simulate(const FakeRatesSpec_t *spec)
 {
-    Play_t *play = g_new(Play_t, 1);
+    Simulation_t *sim = g_new(Simulation_t, 1);
     Random_seed(spec->seed);
-    begin(play, spec);
+    init_simulation(sim, spec);
     for (gint64 ms = 0; ms < (gint64)spec->seconds * 1000; ms++) {
-        play->now_ms = START_MS + ms;
-        Clock_freeze(play->now_ms * CLOCK_US_PER_MS);
-        break_something(play);
-        deliver(play);
+        sim->now_ms = START_MS + ms;
+        Clock_freeze(sim->now_ms * CLOCK_US_PER_MS);
+        inject_faults(sim);
+        deliver_messages(sim);
         for (guint i = 0; i < spec->routers; i++) {
-            wake_up(&play->nodes[i]);
+            run_router(&sim->nodes[i]);
         }
-        arrive(play);
+        make_requests(sim);
     }
-    measure(play);
-    FakeRatesResult_t result = play->result;
-    end(play);
-    g_free(play);
+    compute_result(sim);
+    FakeRatesResult_t result = sim->result;
+    clear_simulation(sim);
+    g_free(sim);
     Clock_freeze(0);
     return result;
 }
--- a/tests/FakeRates.h
+++ b/tests/FakeRates.h
@@ -3,52 +3,55 @@
 /**
  * DOC: FakeRates
  *
- * Routers that hold one customer to its limit together, in virtual time and
- * without sockets, for load patterns and faults drawn from a seed. Each router
- * is a RateKeeper or a RateShare of the product; the network between them
- * loses and delays messages, is cut into parts, and routers are killed, paused
- * and restarted.
+ * Simulates routers that together enforce the limit of one customer, in
+ * virtual time and without sockets. A seed determines the load and the faults.
+ * Each router runs the RateKeeper or the RateShare of the product. The network
+ * loses and delays messages and is partitioned; routers are killed, paused and
+ * restarted.
  */
 #include "RateLimits.h"
 
-/** Most routers of a play */
+/** Most routers of a simulation */
 #define FAKE_RATES_MAX 300
 
 /**
- * enum FakeRatesWay_t - how limits are held
- * @FAKE_RATES_ASK: one router keeps the count
- * @FAKE_RATES_SHARE: each has its part
- * @FAKE_RATES_NONE: not at all
+ * enum FakeRatesMethod_t - how the limit is enforced
+ * @FAKE_RATES_KEEPER: one router counts all requests (RateKeeper)
+ * @FAKE_RATES_SHARE: each router has a fixed share of the limit (RateShare)
+ * @FAKE_RATES_NONE: the limit is not enforced
  */
 typedef enum {
-    FAKE_RATES_ASK,
+    FAKE_RATES_KEEPER,
     FAKE_RATES_SHARE,
     FAKE_RATES_NONE,
-} FakeRatesWay_t;
+} FakeRatesMethod_t;
 
 /**
- * struct FakeRatesSpec_t - one play
- * @way: how limits are held
- * @seed: of all that is drawn
- * @routers: how many
- * @callers_at: routers that the customer's callers are connected to
- * @per_s: units of the limit, which is its burst as well
- * @load: what the customer asks, as a part of its limit
- * @units: of a request on the mean, exponentially distributed
- * @seconds: that it lasts
- * @cuts: routers are cut into two parts at times
- * @kills: some or all are killed and come back at times
- * @pauses: some stand still at times
- * @lags: some handle what comes late at times, as their processor is busy
- * @changes: the limit is lowered and raised at times
- * @of_upstream: it is an upstream's limit: each request is one unit and is
- *     asked for, and a router that was refused asks no more until it may
+ * struct FakeRatesSpec_t - parameters of a simulation
+ * @method: how the limit is enforced
+ * @seed: seed of all random draws
+ * @routers: number of routers
+ * @caller_routers: number of routers that the customer's callers are connected
+ *     to
+ * @per_s: limit in units per second; the burst has the same number of units
+ * @load: units requested per second, as a fraction of the limit
+ * @units: mean units of a request, exponentially distributed
+ * @seconds: duration in virtual time
+ * @cuts: the network is partitioned into two parts at random times
+ * @kills: some or all routers are killed and restarted at random times
+ * @pauses: some routers are paused at random times
+ * @lags: some routers handle messages late at random times, as with a busy
+ *     processor
+ * @changes: the limit is lowered and raised at random times
+ * @is_upstream_limit: the limit is that of an upstream: each request costs one
+ *     unit, and a router whose request was refused refuses further requests
+ *     locally until the retry time of that refusal
  */
 typedef struct {
-    FakeRatesWay_t way;
+    FakeRatesMethod_t method;
     guint32 seed;
     guint routers;
-    guint callers_at;
+    guint caller_routers;
     double per_s;
     double load;
     double units;
@@ -58,42 +61,42 @@
     gboolean pauses;
     gboolean lags;
     gboolean changes;
-    gboolean of_upstream;
+    gboolean is_upstream_limit;
 } FakeRatesSpec_t;
 
 /**
- * struct FakeRatesResult_t - what came of it
- * @asked: requests
- * @refused: of these
- * @refused_by_one: that one bucket would refuse which sees all requests, and
- *     starts empty
- * @asked_units: of all of them
- * @admitted_units: of those let in
- * @excess: most that any window of eight seconds let in beyond the rate times
- *     the window and the burst, as a part of the rate's second; below 0 where
- *     none did
- * @most: units that any four seconds let in
- * @messages: that routers sent
- * @asked_keeper: requests that were not passed by at once, as there was no
- * room
- * @waited_ms: longest that a request waited to be let in
- * @mean_wait_ms: of all requests
+ * struct FakeRatesResult_t - result of a simulation
+ * @requests: number of requests
+ * @refused: number of refused requests
+ * @ideal_refused: number of requests that a single token bucket for all
+ *     routers would refuse if it started empty
+ * @requested_units: units of all requests
+ * @admitted_units: units of the admitted requests
+ * @excess: most units admitted in any window of eight seconds, less the rate
+ *     times the window and the burst, in seconds of the rate; negative if no
+ *     window exceeded that bound
+ * @peak_units: most units admitted in any window of four seconds
+ * @messages: number of messages that the routers sent
+ * @acquire_calls: number of requests that the router did not refuse locally
+ *     because of an earlier refusal
+ * @max_wait_ms: longest time that a request waited for its decision
+ * @mean_wait_ms: mean of these times over all requests
  */
 typedef struct {
-    guint asked;
+    guint requests;
     guint refused;
-    guint refused_by_one;
-    double asked_units;
+    guint ideal_refused;
+    double requested_units;
     double admitted_units;
     double excess;
-    double most;
+    double peak_units;
     guint messages;
-    guint asked_keeper;
-    gint64 waited_ms;
+    guint acquire_calls;
+    gint64 max_wait_ms;
     double mean_wait_ms;
 } FakeRatesResult_t;
 
-/** FakeRates_play() - play a load against the routers */
-FakeRatesResult_t FakeRates_play(const FakeRatesSpec_t *spec);
+/** FakeRates_simulate() - run a simulation */
+FakeRatesResult_t FakeRates_simulate(const FakeRatesSpec_t *spec);
 
 #endif
--- a/tests/FakeRouters.c
+++ b/tests/FakeRouters.c
@@ -7,8 +7,8 @@
 #include "Clock.h"
 
 #define KEY_BYTES 32
-#define PORTS_TRIED 100
-/* Enough for every fact of a test. */
+#define PORT_ATTEMPTS_MAX 100
+/* Bytes per second; enough for all facts of a test. */
 #define GOSSIP_BUDGET 1000000
 
 static void
@@ -31,16 +31,16 @@
 on_message(void *data, Member_t *from, const Wt__PeerMessage *message)
 {
     FakeRouter_t *this = data;
-    if (this->take) {
-        this->take(this->taker, from, message);
+    if (this->handler) {
+        this->handler(this->handler_data, from, message);
         return;
     }
-    g_ptr_array_add(this->told, copy_message(message));
+    g_ptr_array_add(this->received, copy_message(message));
 }
 
-/* The port must be free for streams and for datagrams. */
+/* Finds a port that is free for both TCP and UDP. */
 static gboolean
-find_free(Address_t *out)
+find_free_port(Address_t *out)
 {
     struct sockaddr_in place = {.sin_family = AF_INET,
                                 .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
@@ -61,17 +61,17 @@
 FakeRouters_freeAddress(void)
 {
     Address_t address = {{0}, 0};
-    for (guint i = 0; i < PORTS_TRIED; i++) {
-        if (find_free(&address)) {
+    for (guint i = 0; i < PORT_ATTEMPTS_MAX; i++) {
+        if (find_free_port(&address)) {
             return address;
         }
     }
-    g_error("no port on loopback");
+    g_error("no free port on loopback");
 }
 
 static void
-start(FakeRouters_t *this, guint which, gint64 mesh_routers, guint seeds,
-      gint64 budget)
+start_router(FakeRouters_t *this, guint which, gint64 mesh_routers,
+             guint seeds, gint64 budget)
 {
     static const guint8 key[KEY_BYTES] = {1};
     FakeRouter_t *router = &this->list[which];
@@ -83,7 +83,7 @@
     settings->peers.listen = FakeRouters_freeAddress();
     settings->peers.gossip_budget = budget;
     settings->peers.mesh_routers = mesh_routers;
-    router->told = g_ptr_array_new_with_free_func(free_message);
+    router->received = g_ptr_array_new_with_free_func(free_message);
     MembershipSpec_t spec = {.settings = settings,
                              .incarnation = 1,
                              .upstreams = this->upstreams,
@@ -130,7 +130,7 @@
     this->upstreams = UpstreamSet_create(this->base, 0);
     this->counters = Counters_create();
     for (guint i = 0; i < count; i++) {
-        start(this, i, mesh_routers, seeds, budget);
+        start_router(this, i, mesh_routers, seeds, budget);
     }
 }
 
@@ -139,7 +139,7 @@
                  guint seeds, gint64 budget)
 {
     for (guint i = 0; i < more; i++) {
-        start(this, this->count, mesh_routers, seeds, budget);
+        start_router(this, this->count, mesh_routers, seeds, budget);
         this->count++;
     }
 }
@@ -152,10 +152,10 @@
 }
 
 static void
-clear(FakeRouter_t *this)
+clear_router(FakeRouter_t *this)
 {
     Membership_destroy(this->membership);
-    g_ptr_array_unref(this->told);
+    g_ptr_array_unref(this->received);
     g_string_free(this->settings.router.name, TRUE);
     g_string_free(this->settings.router.hall, TRUE);
     g_bytes_unref(this->settings.keys.seal);
@@ -165,9 +165,9 @@
 FakeRouters_clear(FakeRouters_t *this)
 {
     for (guint i = 0; i < this->count; i++) {
-        clear(&this->list[i]);
+        clear_router(&this->list[i]);
     }
-    /* What was closed is freed by the loop. */
+    /* Closed links are freed in the next loop iteration. */
     event_base_loop(this->base, EVLOOP_NONBLOCK);
     UpstreamSet_destroy(this->upstreams);
     Counters_destroy(this->counters);
@@ -176,9 +176,9 @@
 
 void
 FakeRouters_await(FakeRouters_t *this,
-                  gboolean (*holds)(const FakeRouters_t *this))
+                  gboolean (*condition)(const FakeRouters_t *this))
 {
-    while (!holds(this)) {
+    while (!condition(this)) {
         event_base_loop(this->base, EVLOOP_ONCE);
     }
 }
@@ -193,18 +193,18 @@
 }
 
 static const Wt__PeerMessage *
-told_at(const FakeRouters_t *this, guint which, guint place)
+message_at(const FakeRouters_t *this, guint which, guint place)
 {
-    return g_ptr_array_index(this->list[which].told, place);
+    return g_ptr_array_index(this->list[which].received, place);
 }
 
 const Wt__PeerMessage *
 FakeRouters_find(const FakeRouters_t *this, guint which,
                  Wt__PeerMessage__BodyCase kind)
 {
-    for (guint i = this->list[which].told->len; i > 0; i--) {
-        if (told_at(this, which, i - 1)->body_case == kind) {
-            return told_at(this, which, i - 1);
+    for (guint i = this->list[which].received->len; i > 0; i--) {
+        if (message_at(this, which, i - 1)->body_case == kind) {
+            return message_at(this, which, i - 1);
         }
     }
     return NULL;
@@ -215,8 +215,8 @@
                   Wt__PeerMessage__BodyCase kind)
 {
     guint count = 0;
-    for (guint i = 0; i < this->list[which].told->len; i++) {
-        count += told_at(this, which, i)->body_case == kind ? 1 : 0;
+    for (guint i = 0; i < this->list[which].received->len; i++) {
+        count += message_at(this, which, i)->body_case == kind ? 1 : 0;
     }
     return count;
 }
--- a/tests/FakeSource.c
+++ b/tests/FakeSource.c
@@ -58,7 +58,7 @@
 }
 
 static void
-end_call(FakeSource_t *this, const KeyedPage_t *page, const GError *error)
+complete_call(FakeSource_t *this, const KeyedPage_t *page, const GError *error)
 {
     KeyedPageDone_t done = this->done;
     this->done = NULL;
@@ -69,7 +69,7 @@
 FakeSource_answer(FakeSource_t *this, KeyedPage_t *page)
 {
     FakeSource_await(this);
-    end_call(this, page, NULL);
+    complete_call(this, page, NULL);
     g_ptr_array_unref(page->records);
 }
 
@@ -78,7 +78,7 @@
 {
     g_autoptr(GError) error = g_error_new_literal(WT_ERROR, code, "x");
     FakeSource_await(this);
-    end_call(this, NULL, error);
+    complete_call(this, NULL, error);
 }
 
 KeyedPage_t
@@ -110,7 +110,8 @@
     }
     KeyedPutDone_t done = this->put_done;
     g_autoptr(GError) error =
-        code != 0 ? g_error_new(WT_ERROR, code, "as the test says") : NULL;
+        code != 0 ? g_error_new(WT_ERROR, code, "error set by the test")
+                  : NULL;
     this->put_done = NULL;
     done(error, this->put_data);
 }
--- a/tests/FakeUpstreams.h
+++ b/tests/FakeUpstreams.h
@@ -3,11 +3,12 @@
 /**
  * DOC: FakeUpstreams
  *
- * Upstreams of tests that need no more of them than a name.
+ * Upstreams for tests that use only their names.
  */
 #include "UpstreamSet.h"
 
-/** FakeUpstreams_put() - an upstream of a set, which nobody listens for */
+/** FakeUpstreams_put() - add an upstream to a set; nothing listens on its
+ * address */
 Upstream_t *FakeUpstreams_put(UpstreamSet_t *set, const char *name);
 
 #endif
--- a/tests/fuzz/FakeHttp.h
+++ b/tests/fuzz/FakeHttp.h
@@ -3,12 +3,12 @@
 /**
  * DOC: FakeHttp
  *
- * Takes the place of HttpCall.c: the one call that is open is answered with
- * bytes that the test chooses, without a network.
+ * Replaces HttpCall.c without a network: the test supplies the answer of the
+ * one open call.
  */
 #include "HttpCall.h"
 
-/** FakeHttp_answer() - answer the open call */
+/** FakeHttp_answer() - complete the open call with an answer */
 void FakeHttp_answer(int status, const char *body, gsize length);
 
 #endif
--- a/tests/fuzz/Mutator.c
+++ b/tests/fuzz/Mutator.c
@@ -2,9 +2,10 @@
 
 #include <string.h>
 
-/* Changes of one input, so that some stay near their seed. */
-#define CHANGES_MAX 8
-/* Longest run of bytes that one change moves or leaves out. */
+/* Most mutations of one input. The bound is low so that some inputs stay
+ * close to their seed. */
+#define MUTATIONS_MAX 8
+/* Longest run of bytes that one mutation deletes or repeats. */
 #define RUN_MAX 32
 
 struct Mutator {
@@ -17,11 +18,12 @@
     gsize size;
 } Input_t;
 
-typedef void (*Change_t)(Mutator_t *this, Input_t *input);
+typedef void (*Mutate_t)(Mutator_t *this, Input_t *input);
 
-/* Steele, Lea, Flood: Fast splittable pseudorandom number generators. */
+/* SplitMix64, from Steele, Lea, Flood: Fast splittable pseudorandom number
+ * generators. */
 static guint64
-draw(Mutator_t *this)
+next_random(Mutator_t *this)
 {
     guint64 value = this->state += 0x9e3779b97f4a7c15ULL;
     value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -30,16 +32,16 @@
 }
 
 static gsize
-below(Mutator_t *this, gsize bound)
+random_below(Mutator_t *this, gsize bound)
 {
-    return bound > 0 ? (gsize)(draw(this) % bound) : 0;
+    return bound > 0 ? (gsize)(next_random(this) % bound) : 0;
 }
 
-/* Bytes of a run of @left at the most. */
+/* Draws a length from 1 to @longest, but at most @left. */
 static gsize
 draw_run(Mutator_t *this, gsize longest, gsize left)
 {
-    gsize length = 1 + below(this, longest);
+    gsize length = 1 + random_below(this, longest);
     return MIN(length, left);
 }
 
@@ -50,7 +52,7 @@
 }
 
 static GPtrArray *
-names_of(const char *folder)
+list_files(const char *folder)
 {
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     GDir *directory = g_dir_open(folder, 0, NULL);
@@ -70,11 +72,12 @@
     return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-/* In the order of their names: that of the folder is the system's. */
+/* Sorts the files by name, because the order of g_dir_read_name() differs
+ * between systems. */
 static void
 read_seeds(Mutator_t *this, const char *folder)
 {
-    GPtrArray *names = names_of(folder);
+    GPtrArray *names = list_files(folder);
     g_ptr_array_sort(names, compare_names);
     for (guint i = 0; i < names->len; i++) {
         char *text = NULL;
@@ -119,11 +122,12 @@
 draw_seed(Mutator_t *this, gsize *size)
 {
     GBytes *seed =
-        g_ptr_array_index(this->seeds, below(this, this->seeds->len));
+        g_ptr_array_index(this->seeds, random_below(this, this->seeds->len));
     return g_bytes_get_data(seed, size);
 }
 
-/* Makes room for a run at a place; returns how much there is. */
+/* Inserts a gap of up to @length bytes at offset @at. Returns the length of
+ * the gap, which is shorter if the input would exceed MUTATOR_MAX. */
 static gsize
 open_gap(Input_t *input, gsize at, gsize length)
 {
@@ -137,8 +141,8 @@
 flip_bit(Mutator_t *this, Input_t *input)
 {
     if (input->size > 0) {
-        input->bytes[below(this, input->size)] ^=
-            (guint8)(1 << below(this, 8));
+        input->bytes[random_below(this, input->size)] ^=
+            (guint8)(1 << random_below(this, 8));
     }
 }
 
@@ -147,15 +151,15 @@
 {
     static const char bytes[] = "\0\1\x7f\x80\xff\n\r\t \":=,.-;#[]{}\\09aZ";
     if (input->size > 0) {
-        input->bytes[below(this, input->size)] =
-            (guint8)bytes[below(this, sizeof(bytes) - 1)];
+        input->bytes[random_below(this, input->size)] =
+            (guint8)bytes[random_below(this, sizeof(bytes) - 1)];
     }
 }
 
 static void
-leave_out(Mutator_t *this, Input_t *input)
+delete_run(Mutator_t *this, Input_t *input)
 {
-    gsize at = below(this, input->size);
+    gsize at = random_below(this, input->size);
     gsize length = draw_run(this, RUN_MAX, input->size - at);
     memmove(input->bytes + at, input->bytes + at + length,
             input->size - at - length);
@@ -166,20 +170,20 @@
 repeat_run(Mutator_t *this, Input_t *input)
 {
     guint8 run[RUN_MAX];
-    gsize at = below(this, input->size);
+    gsize at = random_below(this, input->size);
     gsize length = draw_run(this, RUN_MAX, input->size - at);
     memcpy(run, input->bytes + at, length);
-    gsize times = 1 + below(this, 4);
+    gsize times = 1 + random_below(this, 4);
     for (gsize i = 0; i < times; i++) {
-        gsize room = open_gap(input, at, length);
-        memcpy(input->bytes + at, run, room);
+        gsize gap = open_gap(input, at, length);
+        memcpy(input->bytes + at, run, gap);
     }
 }
 
 static void
-put_word(Mutator_t *this, Input_t *input)
+insert_token(Mutator_t *this, Input_t *input)
 {
-    static const char *const words[] = {
+    static const char *const tokens[] = {
         "-1",         "4294967296", "18446744073709551616",
         "1e300",      "0x10",       "\n\n",
         "\r\n\r\n",   "\\u0000",    "\xc3\xa9",
@@ -187,20 +191,20 @@
         "{\"a\":[]}", "999999999h", " event=y ",
         "%s%n",
     };
-    const char *word = words[below(this, G_N_ELEMENTS(words))];
-    gsize at = below(this, input->size + 1);
-    gsize length = open_gap(input, at, strlen(word));
-    memcpy(input->bytes + at, word, length);
+    const char *token = tokens[random_below(this, G_N_ELEMENTS(tokens))];
+    gsize at = random_below(this, input->size + 1);
+    gsize length = open_gap(input, at, strlen(token));
+    memcpy(input->bytes + at, token, length);
 }
 
 static void
-put_run_of_seed(Mutator_t *this, Input_t *input)
+insert_seed_run(Mutator_t *this, Input_t *input)
 {
     gsize size = 0;
     const guint8 *seed = draw_seed(this, &size);
-    gsize from = below(this, size);
+    gsize from = random_below(this, size);
     gsize length = draw_run(this, 4 * RUN_MAX, size - from);
-    gsize at = below(this, input->size + 1);
+    gsize at = random_below(this, input->size + 1);
     length = open_gap(input, at, length);
     if (length > 0) {
         memcpy(input->bytes + at, seed + from, length);
@@ -208,26 +212,27 @@
 }
 
 static void
-cut(Mutator_t *this, Input_t *input)
+truncate_input(Mutator_t *this, Input_t *input)
 {
-    input->size = below(this, input->size + 1);
+    input->size = random_below(this, input->size + 1);
 }
 
 gsize
 Mutator_next(Mutator_t *this, guint8 *out)
 {
-    static const Change_t changes[] = {
-        flip_bit, set_byte, set_byte,        leave_out, repeat_run,
-        put_word, put_word, put_run_of_seed, cut,
+    static const Mutate_t mutations[] = {
+        flip_bit,     set_byte,        set_byte,
+        delete_run,   repeat_run,      insert_token,
+        insert_token, insert_seed_run, truncate_input,
     };
     Input_t input = {.bytes = out};
     const guint8 *seed = draw_seed(this, &input.size);
     if (input.size > 0) {
         memcpy(out, seed, input.size);
     }
-    gsize count = 1 + below(this, CHANGES_MAX);
+    gsize count = 1 + random_below(this, MUTATIONS_MAX);
     for (gsize i = 0; i < count; i++) {
-        changes[below(this, G_N_ELEMENTS(changes))](this, &input);
+        mutations[random_below(this, G_N_ELEMENTS(mutations))](this, &input);
     }
     return input.size;
 }
--- a/tests/fuzz/Mutator.h
+++ b/tests/fuzz/Mutator.h
@@ -3,37 +3,38 @@
 /**
  * DOC: Mutator
  *
- * Makes inputs out of seeds, the same ones for the same number.
+ * Generates fuzz inputs by mutating seed files. The same random seed gives
+ * the same sequence of inputs.
  */
 #include <glib.h>
 
-/** Longest input that is made, in bytes: above all lengths at which the
- * parsers change their ways, but for those of whole megabytes */
+/** Longest generated input in bytes. It exceeds every length at which the
+ * parsers behave differently, except limits of one megabyte and more. */
 #define MUTATOR_MAX 4096
 
 /** struct Mutator_t - opaque */
 typedef struct Mutator Mutator_t;
 
 /**
- * Mutator_create() - read the seeds
- * @folder: each of its files is a seed
- * @number: that all choices follow from
+ * Mutator_create() - read the seed files
+ * @folder: folder whose files are the seeds
+ * @number: seed of the random generator
  *
- * Return: NULL where the folder has no seeds
+ * Return: the mutator, or NULL if the folder has no readable files
  */
 Mutator_t *Mutator_create(const char *folder, guint64 number);
 
-/** Mutator_destroy() - free it */
+/** Mutator_destroy() - free the mutator and its seeds */
 void Mutator_destroy(Mutator_t *this);
 
-/** Mutator_seeds() - GBytes *, by name of file */
+/** Mutator_seeds() - all seeds as GBytes, sorted by file name */
 const GPtrArray *Mutator_seeds(const Mutator_t *this);
 
 /**
- * Mutator_next() - the next input
- * @out: MUTATOR_MAX bytes
+ * Mutator_next() - generate the next input
+ * @out: buffer of MUTATOR_MAX bytes
  *
- * Return: bytes of it
+ * Return: length of the input in bytes
  */
 gsize Mutator_next(Mutator_t *this, guint8 *out);
 
--- a/tests/fuzz/heads.c
+++ b/tests/fuzz/heads.c
@@ -1,4 +1,4 @@
-/* Heads of requests and answers: lines as they stand on the wire. */
+/* Fuzz targets for request heads and answer heads, given as lines. */
 #include <event2/http.h>
 #include <event2/http_struct.h>
 #include <event2/keyvalq_struct.h>
@@ -12,7 +12,7 @@
 #include "UpstreamBackoff.h"
 #include "targets.h"
 
-/* The first line, and the headers from the others. */
+/* Returns the first line and adds the other lines to @out as headers. */
 static char *
 split_head(const uint8_t *data, size_t size, struct evkeyvalq *out)
 {
@@ -29,7 +29,7 @@
 }
 
 static void
-check_passed_on(const struct evkeyvalq *caller)
+check_forwarded_head(const struct evkeyvalq *caller)
 {
     struct evkeyvalq out;
     RelayOrder_t order = {.instance = "i-1", .wait_ms = 250, .salt = "s"};
@@ -44,7 +44,8 @@
     evhttp_clear_headers(&out);
 }
 
-/* Where all parts were read, none had a sign; their lengths can be added. */
+/* Checks that the sum of the part lengths fits an int, and that a header with
+ * fewer parts than the maximum, which is read to its end, contains no sign. */
 static void
 check_parts(const char *header, const RelayRequest_t *request)
 {
@@ -80,13 +81,13 @@
         g_assert_nonnull(error);
     }
     FleetRelay_caller.clear_request(&request);
-    check_passed_on(headers);
+    check_forwarded_head(headers);
     evhttp_request_free(http);
     return 0;
 }
 
-/* Whatever stands there, it is a time that can be added to the clock and a
- * rate that can be reckoned with, and only a 503 asks for rest. */
+/* For any headers, the backoff time and the advertised limit are within their
+ * bounds, and only an answer with status 503 requests a backoff. */
 static void
 check_notice(const UpstreamNotice_t *notice, int status)
 {
@@ -122,7 +123,8 @@
     return 0;
 }
 
-/* What an engine calls its stream goes into tokens and later requests. */
+/* Checks that the stream name sent by an engine can be sealed into a resume
+ * token, read back, and used in the bodies of later requests. */
 static void
 use_stream(const EngineHead_t *head)
 {
@@ -132,11 +134,11 @@
     point->incarnation = head->incarnation;
     GString *token = ResumeToken_seal(point, key);
     g_string_append(token, ".3");
-    ResumePoint_t *again = ResumeToken_open(token->str, key, NULL);
-    g_assert_nonnull(again);
-    g_assert_cmpstr(again->stream->str, ==, head->stream);
-    g_assert(again->incarnation == head->incarnation);
-    ResumePoint_destroy(again);
+    ResumePoint_t *opened = ResumeToken_open(token->str, key, NULL);
+    g_assert_nonnull(opened);
+    g_assert_cmpstr(opened->stream->str, ==, head->stream);
+    g_assert(opened->incarnation == head->incarnation);
+    ResumePoint_destroy(opened);
     ResumePoint_destroy(point);
     g_string_free(token, TRUE);
     g_bytes_unref(EngineHttp_wire.resume_body(head->stream, 3));
--- a/tests/fuzz/libfuzzer.c
+++ b/tests/fuzz/libfuzzer.c
@@ -1,4 +1,5 @@
-/* The same targets under libFuzzer; FUZZ_TARGET names the one to run. */
+/* Entry points of libFuzzer. The environment variable FUZZ_TARGET names the
+ * target to run. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/tests/fuzz/main.c
+++ b/tests/fuzz/main.c
@@ -1,9 +1,10 @@
 /**
  * DOC: fuzz
  *
- * Runs each target on its seeds and on a fixed count of inputs made of them,
- * in a process of its own, so that one that crashes or hangs neither hides
- * the others nor loses its input. The same inputs come each time.
+ * Runs each target on its seeds and on a fixed number of mutated inputs. Each
+ * target runs in its own process, so that after a crash or a hang the other
+ * targets still run and the failing input can be saved. Every run uses the
+ * same inputs.
  *
  * test_Fuzz [TARGET [COUNT [NUMBER]]]
  */
@@ -18,13 +19,16 @@
 #include "Mutator.h"
 #include "targets.h"
 
-/* For each target: all together take less than a minute under sanitizers. */
+/* Mutated inputs for each target. All targets together take less than a
+ * minute under the sanitizers. */
 #define DEFAULT_COUNT 30000
 #define DEFAULT_NUMBER 1
-/* One input takes well under a millisecond; a busy machine is allowed for. */
+/* Timeout of one input in seconds. An input takes well under a millisecond;
+ * the timeout leaves headroom for a busy machine. */
 #define HANG_S 20
 
-/* What the process that ran a target leaves to the one that waits for it. */
+/* Memory that the process of a target shares with its parent: the current
+ * input and the number of completed inputs. */
 typedef struct {
     gsize size;
     guint64 done;
@@ -36,7 +40,8 @@
 static void
 run_one(const FuzzTarget_t *target)
 {
-    /* A copy of its exact size, so that a read beyond it is found. */
+    /* The copy has the exact size of the input, so that AddressSanitizer
+     * detects a read beyond the end. */
     g_autofree guint8 *bytes = g_malloc(MAX(current->size, 1));
     memcpy(bytes, current->bytes, current->size);
     alarm(HANG_S);
@@ -80,7 +85,7 @@
 }
 
 static void
-keep_input(const FuzzTarget_t *target)
+save_input(const FuzzTarget_t *target)
 {
     g_autofree char *path = g_strdup_printf("fuzz-%s.bin", target->name);
     g_file_set_contents(path, (const char *)current->bytes,
@@ -90,7 +95,7 @@
 }
 
 static gboolean
-passes(const FuzzTarget_t *target, guint64 count, guint64 number)
+target_passes(const FuzzTarget_t *target, guint64 count, guint64 number)
 {
     int status = 0;
     memset(current, 0, sizeof(*current));
@@ -103,13 +108,13 @@
         return FALSE;
     }
     if (status != 0) {
-        keep_input(target);
+        save_input(target);
     }
     return status == 0;
 }
 
 static guint64
-argument(int count, char **arguments, int at, guint64 fallback)
+parse_argument(int count, char **arguments, int at, guint64 fallback)
 {
     return count > at ? g_ascii_strtoull(arguments[at], NULL, 10) : fallback;
 }
@@ -126,8 +131,9 @@
             continue;
         }
         ran++;
-        failed += passes(at, argument(count, arguments, 2, DEFAULT_COUNT),
-                         argument(count, arguments, 3, DEFAULT_NUMBER))
+        failed += target_passes(
+                      at, parse_argument(count, arguments, 2, DEFAULT_COUNT),
+                      parse_argument(count, arguments, 3, DEFAULT_NUMBER))
                       ? 0
                       : 1;
     }
--- a/tests/fuzz/peers.c
+++ b/tests/fuzz/peers.c
@@ -1,4 +1,5 @@
-/* What other routers say, in links, in datagrams and in the claims' log. */
+/* Fuzz targets for messages of other routers, received through links and
+ * datagrams, and for records of the claim log. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <event2/event.h>
@@ -22,7 +23,7 @@
 #define MAC_KEY "0123456789abcdef0123456789abcdef"
 
 static Upstream_t *
-put_upstream(UpstreamSet_t *upstreams, const char *name)
+add_upstream(UpstreamSet_t *upstreams, const char *name)
 {
     static UpstreamSpec_t spec = {.address = {"127.0.0.1", 1}, .slots = 1};
     if (!spec.hall) {
@@ -34,20 +35,20 @@
 }
 
 static Gossip_t *
-make_gossip(MemberTable_t **table, UpstreamSet_t **upstreams,
-            Counters_t **counters)
+create_gossip(MemberTable_t **table, UpstreamSet_t **upstreams,
+              Counters_t **counters)
 {
     static const PeersSection_t settings = {.gossip_budget = 100000,
                                             .mesh_routers = 4};
     *table = MemberTable_create("self", "h", 1);
     *upstreams = UpstreamSet_create(NULL, 1);
     *counters = Counters_create();
-    put_upstream(*upstreams, "u1");
+    add_upstream(*upstreams, "u1");
     return Gossip_create(*table, *upstreams, *counters, &settings);
 }
 
-/* Of two facts that of the larger incarnation holds, and nobody is told of
- * itself. */
+/* Of two facts, the one with the larger incarnation applies, and a router
+ * ignores facts about itself. */
 static void
 check_facts(const Wt__Gossip *message, const MemberTable_t *table,
             const UpstreamSet_t *upstreams)
@@ -69,12 +70,12 @@
 }
 
 static void
-take_gossip(const Wt__Gossip *message)
+receive_gossip(const Wt__Gossip *message)
 {
     MemberTable_t *table = NULL;
     UpstreamSet_t *upstreams = NULL;
     Counters_t *counters = NULL;
-    Gossip_t *gossip = make_gossip(&table, &upstreams, &counters);
+    Gossip_t *gossip = create_gossip(&table, &upstreams, &counters);
     Gossip_receive(gossip, message);
     Gossip_receive(gossip, message);
     check_facts(message, table, upstreams);
@@ -86,9 +87,9 @@
     MemberTable_destroy(table);
 }
 
-/* It would be passed on to peers, of whom there are none here. */
+/* Returns FALSE, as there are no peers to forward the fact to. */
 static gboolean
-take_fact(void *owner, Upstream_t *upstream, const NoticeFact_t *fact)
+apply_fact(void *owner, Upstream_t *upstream, const NoticeFact_t *fact)
 {
     (void)owner;
     UpstreamLimit_applyFact(&upstream->limit, &fact->limit, 1);
@@ -98,29 +99,28 @@
     return FALSE;
 }
 
-/* One upstream is listed before its facts come, the other after them. */
+/* One upstream is listed before the message is received, the other after. */
 static void
-take_notices(const Wt__NoticeNews *message)
+receive_notices(const Wt__NoticeNews *message)
 {
     static struct event_base *base;
     base = base ? base : event_base_new();
     UpstreamSet_t *upstreams = UpstreamSet_create(base, 1);
-    NoticeUpdatesSpec_t spec = {.upstreams = upstreams, .handler = take_fact};
-    const Upstream_t *first = put_upstream(upstreams, "u1");
-    NoticeUpdates_t *news = NoticeUpdates_create(base, &spec);
-    NoticeUpdates_receive(news, message);
-    const Upstream_t *second = put_upstream(upstreams, "u2");
+    NoticeUpdatesSpec_t spec = {.upstreams = upstreams, .handler = apply_fact};
+    const Upstream_t *first = add_upstream(upstreams, "u1");
+    NoticeUpdates_t *updates = NoticeUpdates_create(base, &spec);
+    NoticeUpdates_receive(updates, message);
+    const Upstream_t *second = add_upstream(upstreams, "u2");
     g_assert(first->limit.per_s >= 0 &&
              first->limit.per_s <= ADVERTISED_LIMIT_MAX_PER_S);
     g_assert(second->limit.per_s >= 0 &&
              second->limit.per_s <= ADVERTISED_LIMIT_MAX_PER_S);
-    NoticeUpdates_destroy(news);
+    NoticeUpdates_destroy(updates);
     UpstreamSet_destroy(upstreams);
 }
 
 static guint
-no_candidates(void *owner, const char *customer,
-              guint64 out[RATE_CANDIDATES_MAX])
+find_self(void *owner, const char *customer, guint64 out[RATE_CANDIDATES_MAX])
 {
     (void)owner;
     (void)customer;
@@ -129,21 +129,21 @@
 }
 
 static guint
-one_router(void *owner)
+count_one(void *owner)
 {
     (void)owner;
     return 1;
 }
 
 static void
-draw_none(void *owner, ReachSample_t *out)
+draw_empty_sample(void *owner, ReachSample_t *out)
 {
     (void)owner;
     (void)out;
 }
 
 static void
-send_nothing(void *owner, guint64 router, const Wt__PeerMessage *message)
+drop_message(void *owner, guint64 router, const Wt__PeerMessage *message)
 {
     (void)owner;
     (void)router;
@@ -151,43 +151,44 @@
 }
 
 static void
-never_wake(void *owner, gint64 in_ms)
+ignore_tick(void *owner, gint64 in_ms)
 {
     (void)owner;
     (void)in_ms;
 }
 
-static const RateLinksClass_t no_links = {
-    .candidates = no_candidates,
-    .routers = one_router,
-    .draw_sample = draw_none,
-    .send = send_nothing,
-    .schedule_tick = never_wake,
+static const RateLinksClass_t isolated_links = {
+    .candidates = find_self,
+    .routers = count_one,
+    .draw_sample = draw_empty_sample,
+    .send = drop_message,
+    .schedule_tick = ignore_tick,
 };
 
-/* Whatever others say of a customer, a request of another one goes on. */
+/* Messages about one customer must neither delay nor refuse a request of
+ * another customer. */
 static void
-take_rates(const Wt__PeerMessage *message)
+receive_rates(const Wt__PeerMessage *message)
 {
     Counters_t *counters = Counters_create();
-    RateKeeper_t *keeper = RateKeeper_create(&no_links, NULL, counters);
+    RateKeeper_t *keeper = RateKeeper_create(&isolated_links, NULL, counters);
     RateRequest_t request = {
         .subject = "other", .limit = {.per_s = 10, .burst = 10}, .units = 1};
     RateVerdict_t verdict = {0};
     RateKeeper_receive(keeper, message, 7);
     RateKeeper_receive(keeper, message, 8);
     RateKeeper_tick(keeper);
-    RateQuery_t *ask = RateLimits_acquire(RateKeeper_limits(keeper), &request,
-                                          &verdict, NULL, NULL);
-    g_assert(!ask);
+    RateQuery_t *query = RateLimits_acquire(RateKeeper_limits(keeper),
+                                            &request, &verdict, NULL, NULL);
+    g_assert(!query);
     g_assert(verdict.admitted || message->rate_ask);
     RateLimits_destroy(RateKeeper_limits(keeper));
     Counters_destroy(counters);
 }
 
 static void
-no_list(RecordSource_t *source, const char *topic, const char *after,
-        KeyedPageDone_t done, void *data)
+ignore_list(RecordSource_t *source, const char *topic, const char *after,
+            KeyedPageDone_t done, void *data)
 {
     (void)source;
     (void)topic;
@@ -197,27 +198,27 @@
 }
 
 static void
-no_record(void *owner, const KeyedRecord_t *record)
+ignore_record(void *owner, const KeyedRecord_t *record)
 {
     (void)owner;
     (void)record;
 }
 
 static void
-no_end(void *owner, StorePosition_t end, gint64 at_ms)
+ignore_end(void *owner, StorePosition_t end, gint64 at_ms)
 {
     (void)owner;
     (void)end;
     (void)at_ms;
 }
 
-/* A page that has more brings a list further, or is not taken. */
+/* A page that is not the last one advances the cursor, or is rejected. */
 static void
-take_list_page(const Wt__ListPage *message)
+receive_list_page(const Wt__ListPage *message)
 {
-    static const RecordSourceClass_t class = {.list = no_list};
-    static const RecordFollowerEvents_t events = {.record = no_record,
-                                                  .current = no_end};
+    static const RecordSourceClass_t class = {.list = ignore_list};
+    static const RecordFollowerEvents_t events = {.record = ignore_record,
+                                                  .current = ignore_end};
     static struct event_base *base;
     base = base ? base : event_base_new();
     RecordSource_t source = {&class};
@@ -228,23 +229,23 @@
                                                          message->n_records,
                                                          message->epoch),
                        .reached = message->reached};
-    ListCursor_t place = {message->after, {message->epoch, message->from}};
+    ListCursor_t cursor = {message->after, {message->epoch, message->from}};
     part.page.more = message->more;
     part.page.end = (StorePosition_t){message->epoch, message->end};
-    gboolean taken =
-        RecordFollower_applyPeerListPage(follower, &place, &part, 1);
+    gboolean applied =
+        RecordFollower_applyPeerListPage(follower, &cursor, &part, 1);
     ListCursor_t next = {""};
-    gboolean wants = RecordFollower_wantsListPage(follower, &next);
-    g_assert(!taken || wants == part.page.more);
-    g_assert(!taken || !wants || strcmp(next.after, place.after) > 0);
-    RecordFollower_applyPeerListPage(follower, &place, &part, 2);
+    gboolean wants_more = RecordFollower_wantsListPage(follower, &next);
+    g_assert(!applied || wants_more == part.page.more);
+    g_assert(!applied || !wants_more || strcmp(next.after, cursor.after) > 0);
+    RecordFollower_applyPeerListPage(follower, &cursor, &part, 2);
     g_ptr_array_unref(part.page.records);
     RecordFollower_destroy(follower);
 }
 
-/* Whatever is asked for, pages go forward. */
+/* A page that is not the last one advances the cursor from any position. */
 static void
-take_list_ask(const Wt__ListAsk *message)
+receive_list_query(const Wt__ListAsk *message)
 {
     ListCopy_t *copy = ListCopy_create();
     GString key = {.str = "u1", .len = strlen("u1")};
@@ -253,10 +254,10 @@
     ListCopy_put(copy, &record);
     ListCopy_startChanges(copy, (StorePosition_t){1, 2});
     ListCopy_noteChange(copy, &record);
-    ListCursor_t place = {message->after, {message->epoch, message->from}};
+    ListCursor_t cursor = {message->after, {message->epoch, message->from}};
     ListPage_t part = {{0}};
-    if (ListCopy_readPage(copy, &place, 1, &part)) {
-        g_assert(!part.page.more || strcmp(part.reached, place.after) > 0);
+    if (ListCopy_readPage(copy, &cursor, 1, &part)) {
+        g_assert(!part.page.more || strcmp(part.reached, cursor.after) > 0);
         g_ptr_array_unref(part.page.records);
     }
     ListCopy_destroy(copy);
@@ -277,20 +278,20 @@
         return 0;
     }
     if (message->body_case == WT__PEER_MESSAGE__BODY_GOSSIP) {
-        take_gossip(message->gossip);
+        receive_gossip(message->gossip);
     }
     if (message->body_case == WT__PEER_MESSAGE__BODY_LIST_PAGE) {
-        take_list_page(message->list_page);
+        receive_list_page(message->list_page);
     }
     if (message->body_case == WT__PEER_MESSAGE__BODY_LIST_ASK) {
-        take_list_ask(message->list_ask);
+        receive_list_query(message->list_ask);
     }
     if (message->body_case == WT__PEER_MESSAGE__BODY_RATE_ASK ||
         message->body_case == WT__PEER_MESSAGE__BODY_RATE_ANSWER) {
-        take_rates(message);
+        receive_rates(message);
     }
     if (message->body_case == WT__PEER_MESSAGE__BODY_NOTICE_NEWS) {
-        take_notices(message->notice_news);
+        receive_notices(message->notice_news);
     }
     wt__peer_message__free_unpacked(message, NULL);
     return 0;
@@ -299,24 +300,24 @@
 typedef struct {
     guint messages;
     guint closed;
-} Heard_t;
+} LinkCounts_t;
 
 static void
 on_message(void *owner, PeerLink_t *link, const Wt__PeerMessage *message)
 {
     (void)link;
     (void)message;
-    ((Heard_t *)owner)->messages++;
+    ((LinkCounts_t *)owner)->messages++;
 }
 
 static void
 on_closed(void *owner, PeerLink_t *link)
 {
     (void)link;
-    ((Heard_t *)owner)->closed++;
+    ((LinkCounts_t *)owner)->closed++;
 }
 
-/* A link that has closed meanwhile takes no more. */
+/* Sends bytes to the link; EPIPE means that the link has closed meanwhile. */
 static void
 send_piece(struct event_base *base, int fd, const uint8_t *data, size_t size)
 {
@@ -326,62 +327,65 @@
     event_base_loop(base, EVLOOP_NONBLOCK);
 }
 
-/* What a link takes of bytes that come in two pieces. */
-static Heard_t
+/* Counts the events of a link that receives the data in two pieces. */
+static LinkCounts_t
 send_pieces(GBytes *key, const uint8_t *data, size_t size, size_t first)
 {
     static const PeerLinkEvents_t events = {.message = on_message,
                                             .closed = on_closed};
     static struct event_base *base;
-    Heard_t heard = {0, 0};
-    int ends[2];
+    LinkCounts_t counts = {0, 0};
+    int sockets[2];
     base = base ? base : event_base_new();
-    g_assert_cmpint(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends),
-                    ==, 0);
-    PeerLink_t *link = PeerLink_accept(base, ends[0], key, &events, &heard);
-    send_piece(base, ends[1], data, first);
-    send_piece(base, ends[1], data + first, size - first);
-    if (heard.closed == 0) {
+    g_assert_cmpint(
+        socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, sockets), ==, 0);
+    PeerLink_t *link =
+        PeerLink_accept(base, sockets[0], key, &events, &counts);
+    send_piece(base, sockets[1], data, first);
+    send_piece(base, sockets[1], data + first, size - first);
+    if (counts.closed == 0) {
         PeerLink_close(link);
     }
     event_base_loop(base, EVLOOP_NONBLOCK);
     event_base_loop(base, EVLOOP_NONBLOCK);
-    close(ends[1]);
-    return heard;
+    close(sockets[1]);
+    return counts;
 }
 
-/* Nothing is heard of whoever lacks the key; with it, what can be unpacked is
- * heard once and anything else closes the link. */
+/* A link delivers no message without a valid MAC. With a valid MAC, it
+ * delivers a well-formed message exactly once, and any other message closes
+ * the link. */
 int
 Fuzz_peerLink(const uint8_t *data, size_t size)
 {
     GBytes *key = g_bytes_new_static(MAC_KEY, strlen(MAC_KEY));
-    Heard_t heard = send_pieces(key, data, size, size / 2);
-    g_assert_cmpuint(heard.messages, ==, 0);
+    LinkCounts_t counts = send_pieces(key, data, size, size / 2);
+    g_assert_cmpuint(counts.messages, ==, 0);
     gsize framed_size = sizeof(guint32) + PEER_MAC_BYTES + size;
     g_autofree guint8 *framed = g_malloc(framed_size);
     guint32 head = htonl((guint32)size);
     memcpy(framed, &head, sizeof(head));
     PeerMac_compute(key, data, size, framed + sizeof(head));
     memcpy(framed + sizeof(head) + PEER_MAC_BYTES, data, size);
-    heard = send_pieces(key, framed, framed_size,
-                        size > 0 ? data[0] % framed_size : 0);
-    g_assert_cmpuint(heard.messages + heard.closed, ==, 1);
+    counts = send_pieces(key, framed, framed_size,
+                         size > 0 ? data[0] % framed_size : 0);
+    g_assert_cmpuint(counts.messages + counts.closed, ==, 1);
     g_bytes_unref(key);
     return 0;
 }
 
-#define KEYS 4
-#define ATTEMPTS 8
+#define KEY_COUNT 4
+#define ATTEMPT_COUNT 8
 
-/* What claims must come to, written down a second time. */
+/* State of a second implementation of the claim rules, against which the index
+ * is checked. */
 typedef struct {
-    gboolean ran[KEYS];
-    gboolean is_void[ATTEMPTS];
+    gboolean ran[KEY_COUNT];
+    gboolean is_void[ATTEMPT_COUNT];
 } Expected_t;
 
 static ClaimId_t
-id_of(guint number)
+make_id(guint number)
 {
     ClaimId_t id;
     memset(&id, (int)number, sizeof(id));
@@ -391,24 +395,24 @@
 static gboolean
 is_granted(const ClaimIndex_t *index, guint key, guint attempt)
 {
-    ClaimId_t key_id = id_of(key);
-    ClaimId_t attempt_id = id_of(attempt);
+    ClaimId_t key_id = make_id(key);
+    ClaimId_t attempt_id = make_id(attempt);
     return ClaimIndex_verdict(index, &key_id, &attempt_id) ==
            WT__CLAIM_VERDICT__GRANTED;
 }
 
 static gboolean
-stands(const ClaimIndex_t *index, guint key)
+has_claim(const ClaimIndex_t *index, guint key)
 {
-    ClaimId_t id = id_of(key);
+    ClaimId_t id = make_id(key);
     return ClaimIndex_hasClaim(index, &id);
 }
 
 static void
-fold(ClaimIndex_t *index, guint key, guint attempt, Wt__ClaimKind kind)
+fold_entry(ClaimIndex_t *index, guint key, guint attempt, Wt__ClaimKind kind)
 {
-    ClaimId_t key_id = id_of(key);
-    ClaimId_t attempt_id = id_of(attempt);
+    ClaimId_t key_id = make_id(key);
+    ClaimId_t attempt_id = make_id(attempt);
     Wt__ClaimEntry entry = WT__CLAIM_ENTRY__INIT;
     Wt__ClaimEntry *entries[] = {&entry};
     Wt__ClaimRecord record = WT__CLAIM_RECORD__INIT;
@@ -422,17 +426,19 @@
     ClaimIndex_fold(index, &record);
 }
 
-/* Whether the attempt is to be granted behind an entry. */
+/* Applies an entry to the expected state. Returns whether the attempt must be
+ * granted after the entry. */
 static gboolean
-expect(Expected_t *this, const ClaimIndex_t *index, guint key, guint attempt,
-       Wt__ClaimKind kind)
+update_expected(Expected_t *this, const ClaimIndex_t *index, guint key,
+                guint attempt, Wt__ClaimKind kind)
 {
     gboolean granted = is_granted(index, key, attempt);
     gboolean was_void = this->is_void[attempt];
     switch (kind) {
     case WT__CLAIM_KIND__CLAIM:
-        this->is_void[attempt] = was_void || (stands(index, key) && !granted);
-        return granted || (!stands(index, key) && !was_void);
+        this->is_void[attempt] =
+            was_void || (has_claim(index, key) && !granted);
+        return granted || (!has_claim(index, key) && !was_void);
     case WT__CLAIM_KIND__RELEASE:
         this->is_void[attempt] = TRUE;
         return granted && this->ran[key];
@@ -448,7 +454,7 @@
 count_granted(const ClaimIndex_t *index, guint key)
 {
     guint granted = 0;
-    for (guint i = 0; i < ATTEMPTS; i++) {
+    for (guint i = 0; i < ATTEMPT_COUNT; i++) {
         granted += is_granted(index, key, i) ? 1 : 0;
     }
     return granted;
@@ -464,22 +470,23 @@
     }
 }
 
-/* Three bytes are an entry: key, attempt, kind. The same bytes as they came
- * are a record as well. Of all attempts of a key one is granted at most. */
+/* Each three bytes form an entry: key, attempt, kind. At most one attempt of a
+ * key is granted. Afterwards the whole input is folded as a packed record. */
 int
 Fuzz_claims(const uint8_t *data, size_t size)
 {
     ClaimIndex_t *index = ClaimIndex_create();
     Expected_t expected = {0};
     for (size_t at = 0; at + 3 <= size; at += 3) {
-        guint key = data[at] % KEYS;
-        guint attempt = data[at + 1] % ATTEMPTS;
+        guint key = data[at] % KEY_COUNT;
+        guint attempt = data[at + 1] % ATTEMPT_COUNT;
         Wt__ClaimKind kind = (Wt__ClaimKind)(data[at + 2] % 4);
-        gboolean granted = expect(&expected, index, key, attempt, kind);
-        fold(index, key, attempt, kind);
+        gboolean granted =
+            update_expected(&expected, index, key, attempt, kind);
+        fold_entry(index, key, attempt, kind);
         g_assert(is_granted(index, key, attempt) == granted);
         g_assert_cmpuint(count_granted(index, key), ==,
-                         stands(index, key) ? 1 : 0);
+                         has_claim(index, key) ? 1 : 0);
     }
     fold_raw(index, data, size);
     ClaimIndex_expire(index, 1);
--- a/tests/fuzz/records.c
+++ b/tests/fuzz/records.c
@@ -1,4 +1,4 @@
-/* Answers of the stores, and the records in them. */
+/* Fuzz targets for the answers of the stores and for stored records. */
 #include <string.h>
 
 #include "ConfigStore.h"
@@ -15,9 +15,9 @@
 
 static const Address_t address = {"127.0.0.1", 1};
 
-/* Reads every byte, so that one that is not there is found. */
+/* Sums all bytes, so that AddressSanitizer detects a read beyond the end. */
 static guint
-sum_of(GBytes *bytes)
+sum_bytes(GBytes *bytes)
 {
     gsize size = 0;
     const guint8 *at = bytes ? g_bytes_get_data(bytes, &size) : NULL;
@@ -28,20 +28,20 @@
     return sum;
 }
 
-/* Counts the answers: each call has exactly one. */
+/* Counts the answers, as each call must be answered exactly once. */
 static void
-take_records(const LogRecords_t *records, const GError *error, void *data)
+on_records(const LogRecords_t *records, const GError *error, void *data)
 {
     guint *answers = data;
     *answers += 1;
     g_assert(records || error);
     for (guint i = 0; !error && i < records->records->len; i++) {
-        sum_of(g_ptr_array_index(records->records, i));
+        sum_bytes(g_ptr_array_index(records->records, i));
     }
 }
 
 static void
-take_offset(guint64 offset, const GError *error, void *data)
+on_offset(guint64 offset, const GError *error, void *data)
 {
     (void)offset;
     (void)error;
@@ -50,7 +50,7 @@
 }
 
 static void
-take_page(const KeyedPage_t *page, const GError *error, void *data)
+on_page(const KeyedPage_t *page, const GError *error, void *data)
 {
     guint *answers = data;
     *answers += 1;
@@ -58,12 +58,12 @@
     for (guint i = 0; page && i < page->records->len; i++) {
         const KeyedRecord_t *record = g_ptr_array_index(page->records, i);
         g_assert_cmpuint(record->key->str[record->key->len], ==, 0);
-        sum_of(record->value);
+        sum_bytes(record->value);
     }
 }
 
 static int
-status_of(uint8_t byte)
+choose_status(uint8_t byte)
 {
     static const int statuses[] = {200, 200, 410, 503};
     return statuses[byte % G_N_ELEMENTS(statuses)];
@@ -74,9 +74,9 @@
 {
     guint answers = 0;
     GBytes *record = g_bytes_new_static("r", 1);
-    LogClient_read(log, "s", 3, 0, take_records, &answers);
+    LogClient_read(log, "s", 3, 0, on_records, &answers);
     FakeHttp_answer(status, body, length);
-    LogClient_append(log, "s", record, take_offset, &answers);
+    LogClient_append(log, "s", record, on_offset, &answers);
     FakeHttp_answer(status, body, length);
     g_assert_cmpuint(answers, ==, 2);
     g_bytes_unref(record);
@@ -90,14 +90,14 @@
         return 0;
     }
     const char *body = (const char *)data + 1;
-    int status = status_of(data[0]);
+    int status = choose_status(data[0]);
     guint answers = 0;
     StoreEpoch_t *epoch = StoreEpoch_create(NULL);
     RecordSource_t *source =
         FleetRecords_create(NULL, &address, TIMEOUT_MS, epoch);
-    RecordSource_read(source, "t", 3, 0, take_page, &answers);
+    RecordSource_read(source, "t", 3, 0, on_page, &answers);
     FakeHttp_answer(status, body, size - 1);
-    RecordSource_list(source, "t", NULL, take_page, &answers);
+    RecordSource_list(source, "t", NULL, on_page, &answers);
     FakeHttp_answer(status, body, size - 1);
     g_assert_cmpuint(answers, ==, 2);
     RecordSource_destroy(source);
@@ -113,13 +113,13 @@
     if (size > 0) {
         StoreEpoch_t *epoch = StoreEpoch_create(NULL);
         answer_log(LogHttp_create(NULL, &address, TIMEOUT_MS, epoch),
-                   status_of(data[0]), (const char *)data + 1, size - 1);
+                   choose_status(data[0]), (const char *)data + 1, size - 1);
         StoreEpoch_destroy(epoch);
     }
     return 0;
 }
 
-/* A route with targets leads somewhere, whatever is drawn. */
+/* A route with targets gives a target for every random draw. */
 static void
 check_targets(const Route_t *route)
 {
@@ -134,7 +134,7 @@
 }
 
 static void
-use_config(const RouteConfig_t *config)
+check_config(const RouteConfig_t *config)
 {
     for (guint i = 0; i < config->routes->len; i++) {
         const Route_t *route = g_ptr_array_index(config->routes, i);
@@ -147,7 +147,7 @@
 }
 
 static void
-read_entry(GBytes *value)
+check_upstream(GBytes *value)
 {
     ListedUpstream_t entry;
     ListedUpstream_init(&entry);
@@ -159,7 +159,7 @@
 }
 
 static void
-read_engine(const HttpAnswer_t *answer)
+read_engine_answer(const HttpAnswer_t *answer)
 {
     const OrderForm_t *forms[] = {&FleetOrders_form, &OrderHttp_form};
     for (gsize i = 0; i < G_N_ELEMENTS(forms); i++) {
@@ -178,7 +178,7 @@
     RouteConfig_t *config = FleetConfig_decode(value, &error);
     g_assert((config == NULL) == (error != NULL));
     if (config) {
-        use_config(config);
+        check_config(config);
         RouteConfig_unref(config);
     }
     GString *model = g_string_new(NULL);
@@ -187,9 +187,9 @@
         g_assert_cmpuint(version, >, 0);
     }
     g_string_free(model, TRUE);
-    read_entry(value);
+    check_upstream(value);
     HttpAnswer_t answer = {200, NULL, (const char *)data, size};
-    read_engine(&answer);
+    read_engine_answer(&answer);
     g_bytes_unref(value);
     return 0;
 }
@@ -198,18 +198,18 @@
 check_snapshot(const ConfigStore_t *store)
 {
     guint8 digest[16];
-    guint8 digest_again[16];
+    guint8 loaded_digest[16];
     GBytes *packed = ConfigStore_pack(store);
     gsize size = 0;
     const guint8 *bytes = g_bytes_get_data(packed, &size);
     Wt__Snapshot *snapshot = wt__snapshot__unpack(NULL, size, bytes);
     g_assert_nonnull(snapshot);
-    ConfigStore_t *again = ConfigStore_create(NULL, NULL);
-    g_assert(ConfigStore_load(again, snapshot));
+    ConfigStore_t *loaded = ConfigStore_create(NULL, NULL);
+    g_assert(ConfigStore_load(loaded, snapshot));
     ConfigStore_digest(store, digest);
-    ConfigStore_digest(again, digest_again);
-    g_assert(memcmp(digest, digest_again, sizeof(digest)) == 0);
-    ConfigStore_destroy(again);
+    ConfigStore_digest(loaded, loaded_digest);
+    g_assert(memcmp(digest, loaded_digest, sizeof(digest)) == 0);
+    ConfigStore_destroy(loaded);
     wt__snapshot__free_unpacked(snapshot, NULL);
     g_bytes_unref(packed);
 }
@@ -223,10 +223,11 @@
     return g_bytes_new_take(bytes, size);
 }
 
-/* A line each: kind, name, then key=value; all are changes of one record, so
- * that a mutation of the text reaches the checks of the fields. */
+/* Builds a record with one change from words separated by spaces or newlines:
+ * kind, name, then key=value. Mutations of such text, unlike those of packed
+ * bytes, reach the checks of the fields. */
 static GBytes *
-record_of_text(const uint8_t *data, size_t size)
+build_record(const uint8_t *data, size_t size)
 {
     g_autofree char *text = g_utf8_make_valid((const char *)data, size);
     g_auto(GStrv) words = g_strsplit_set(text, " \n", 64);
@@ -240,13 +241,13 @@
     change.name = count > 1 ? words[1] : (char *)"";
     change.fields = list;
     for (guint i = 2; i < count; i++) {
-        char *sign = strchr(words[i], '=');
-        if (sign) {
-            *sign = '\0';
+        char *separator = strchr(words[i], '=');
+        if (separator) {
+            *separator = '\0';
             Wt__Field *field = &fields[change.n_fields];
             wt__field__init(field);
             field->key = words[i];
-            field->value = sign + 1;
+            field->value = separator + 1;
             list[change.n_fields++] = field;
         }
     }
@@ -255,13 +256,14 @@
     return pack_record(&record);
 }
 
-/* The fold takes any bytes; a store that took its snapshot is the same. */
+/* The fold accepts any bytes as a record, and a store that is loaded from a
+ * snapshot has the same digest as the store that wrote the snapshot. */
 int
 Fuzz_configRecords(const uint8_t *data, size_t size)
 {
     ConfigStore_t *store = ConfigStore_create(NULL, NULL);
     GBytes *raw = g_bytes_new_static(data, size);
-    GBytes *made = record_of_text(data, size);
+    GBytes *made = build_record(data, size);
     ConfigStore_fold(store, 0, raw);
     ConfigStore_fold(store, 1, made);
     ConfigStore_fold(store, 2, raw);
--- a/tests/fuzz/streams.c
+++ b/tests/fuzz/streams.c
@@ -1,4 +1,4 @@
-/* Event streams, whose pieces may be cut anywhere by the network. */
+/* Fuzz targets for event streams, which the network may split at any byte. */
 #include <event2/buffer.h>
 #include <string.h>
 
@@ -7,28 +7,29 @@
 #include "SseParser.h"
 #include "targets.h"
 
-/* Longest piece that a stream is cut into, so that many cuts are met. */
+/* Longest piece in bytes. Short pieces split a stream at many positions. */
 #define PIECE_MAX 7
-/* Beyond any input, and within most of them. */
+/* Limits on the length of an event in bytes: EVENT_MAX exceeds any input,
+ * SMALL_EVENT_MAX is shorter than most inputs. */
 #define EVENT_MAX (1 << 20)
 #define SMALL_EVENT_MAX 24
 
 typedef gboolean (*Feed_t)(void *owner, struct evbuffer *in);
 
-/* The first byte says how the rest is cut: 0 for one piece, else it and its
- * multiples give the pieces' lengths. */
+/* Feeds the data in one piece if @cut is 0, otherwise in pieces whose lengths
+ * follow from a pseudorandom sequence that starts with @cut. */
 static void
 feed_cut(const uint8_t *data, size_t size, guint cut, Feed_t feed, void *owner)
 {
     struct evbuffer *in = evbuffer_new();
     size_t done = 0;
     guint draw = cut;
-    gboolean go_on = TRUE;
-    while (done < size && go_on) {
+    gboolean proceed = TRUE;
+    while (done < size && proceed) {
         size_t piece = cut == 0 ? size : 1 + draw % PIECE_MAX;
         piece = MIN(piece, size - done);
         evbuffer_add(in, data + done, piece);
-        go_on = feed(owner, in);
+        proceed = feed(owner, in);
         done += piece;
         draw = draw * 5 + cut;
     }
@@ -39,61 +40,64 @@
     EventPipe_t *pipe;
     struct evbuffer *out;
     guint count;
-} Piped_t;
+} PipeOutput_t;
 
 static gboolean
 feed_pipe(void *owner, struct evbuffer *in)
 {
-    Piped_t *this = owner;
+    PipeOutput_t *this = owner;
     this->count += EventPipe_feed(this->pipe, in, this->out);
     g_assert(evbuffer_get_length(in) == 0);
     return TRUE;
 }
 
-static Piped_t
+static PipeOutput_t
 pipe_cut(const uint8_t *data, size_t size, guint cut, gsize event_max)
 {
-    Piped_t this = {EventPipe_create(event_max), evbuffer_new(), 0};
+    PipeOutput_t this = {EventPipe_create(event_max), evbuffer_new(), 0};
     feed_cut(data, size, cut, feed_pipe, &this);
     g_assert_cmpuint(this.count, ==, EventPipe_passed(this.pipe));
     return this;
 }
 
 static void
-clear_piped(Piped_t *this)
+clear_output(PipeOutput_t *this)
 {
     EventPipe_destroy(this->pipe);
     evbuffer_free(this->out);
 }
 
-/* Only whole events have passed, and none of those that came is kept. */
+/* Only complete events have been passed on, and the remainder contains no
+ * complete event. */
 static void
 check_whole_events(struct evbuffer *out, const uint8_t *data, size_t size)
 {
     size_t passed = evbuffer_get_length(out);
-    struct evbuffer *rest = evbuffer_new();
+    struct evbuffer *remainder = evbuffer_new();
     g_assert_cmpuint(passed, <=, size);
     g_assert(passed == 0 || data[passed - 1] == '\n');
-    evbuffer_add(rest, data + passed, size - passed);
-    g_assert(EventPipe_firstLength(rest) == 0);
-    evbuffer_free(rest);
+    evbuffer_add(remainder, data + passed, size - passed);
+    g_assert(EventPipe_firstLength(remainder) == 0);
+    evbuffer_free(remainder);
 }
 
-/* The bound ends a stream at the same event, however it is cut. */
+/* The limit on the length of an event ends a stream at the same event however
+ * the stream is split. */
 static void
 check_bound(const uint8_t *data, size_t size, guint cut)
 {
-    Piped_t whole = pipe_cut(data, size, 0, SMALL_EVENT_MAX);
-    Piped_t pieces = pipe_cut(data, size, cut, SMALL_EVENT_MAX);
+    PipeOutput_t whole = pipe_cut(data, size, 0, SMALL_EVENT_MAX);
+    PipeOutput_t pieces = pipe_cut(data, size, cut, SMALL_EVENT_MAX);
     g_assert_cmpint(EventPipe_isOverfull(whole.pipe), ==,
                     EventPipe_isOverfull(pieces.pipe));
     g_assert_cmpuint(whole.count, ==, pieces.count);
-    clear_piped(&whole);
-    clear_piped(&pieces);
+    clear_output(&whole);
+    clear_output(&pieces);
 }
 
-/* Whole, the bytes are those that came; a second upstream that sends the
- * same again adds no event that has a number. */
+/* The first byte selects how the other bytes are split. After a flush the
+ * output equals the input. Finally the stream is fed again after a restart, as
+ * from a second upstream that sends the same events. */
 int
 Fuzz_eventPipe(const uint8_t *data, size_t size)
 {
@@ -101,8 +105,8 @@
         return 0;
     }
     check_bound(data + 1, size - 1, data[0]);
-    Piped_t whole = pipe_cut(data + 1, size - 1, 0, EVENT_MAX);
-    Piped_t cut = pipe_cut(data + 1, size - 1, data[0], EVENT_MAX);
+    PipeOutput_t whole = pipe_cut(data + 1, size - 1, 0, EVENT_MAX);
+    PipeOutput_t cut = pipe_cut(data + 1, size - 1, data[0], EVENT_MAX);
     g_assert_cmpuint(whole.count, ==, cut.count);
     g_assert_cmpstr(EventPipe_lastId(whole.pipe), ==,
                     EventPipe_lastId(cut.pipe));
@@ -118,13 +122,13 @@
     }
     EventPipe_restart(cut.pipe);
     feed_cut(data + 1, size - 1, 0, feed_pipe, &cut);
-    clear_piped(&whole);
-    clear_piped(&cut);
+    clear_output(&whole);
+    clear_output(&cut);
     return 0;
 }
 
 static gboolean
-note_event(const char *id, const char *data, gsize length, void *user)
+record_event(const char *id, const char *data, gsize length, void *user)
 {
     GString *seen = user;
     g_assert_cmpuint(data[length], ==, 0);
@@ -144,7 +148,7 @@
 parse_cut(const uint8_t *data, size_t size, guint cut)
 {
     GString *seen = g_string_new(NULL);
-    SseParser_t *parser = SseParser_create(EVENT_MAX, note_event, seen);
+    SseParser_t *parser = SseParser_create(EVENT_MAX, record_event, seen);
     feed_cut(data, size, cut, feed_parser, parser);
     SseParser_destroy(parser);
     return seen;
@@ -164,26 +168,26 @@
     return 0;
 }
 
-/* The event's text, or NULL where it is refused. */
+/* Returns the text of the event, or NULL if the event is invalid. */
 static char *
-read_text(const EngineHead_t *head, EngineEventFormat_t *form,
+read_text(const EngineHead_t *head, EngineEventFormat_t *format,
           const char *event)
 {
     EngineToken_t token;
-    json_t *keep = NULL;
-    gboolean good = EngineHttp_wire.read_event(head, form, "0", event,
-                                               strlen(event), &token, &keep);
+    json_t *parsed = NULL;
+    gboolean good = EngineHttp_wire.read_event(head, format, "0", event,
+                                               strlen(event), &token, &parsed);
     char *text = NULL;
     if (good) {
         text =
             token.end ? g_strdup("end") : g_strndup(token.text, token.length);
     }
-    json_decref(keep);
+    json_decref(parsed);
     return text;
 }
 
-/* Events of one stream, a line each: what is read by the learned form must
- * be what is read in full. */
+/* Each line is an event of one stream. Reading an event by the learned format
+ * must give the same text as parsing it in full. */
 int
 Fuzz_engineEvents(const uint8_t *data, size_t size)
 {
@@ -193,13 +197,13 @@
     g_autofree char *text = g_strndup((const char *)data, size);
     g_auto(GStrv) events = g_strsplit(text, "\n", -1);
     for (guint i = 0; events[i]; i++) {
-        EngineEventFormat_t none = {g_string_new(NULL), g_string_new(NULL),
-                                    FALSE};
-        g_autofree char *by_form = read_text(&head, &learned, events[i]);
-        g_autofree char *in_full = read_text(&head, &none, events[i]);
-        g_assert_cmpstr(by_form, ==, in_full);
-        g_string_free(none.prefix, TRUE);
-        g_string_free(none.suffix, TRUE);
+        EngineEventFormat_t unlearned = {g_string_new(NULL),
+                                         g_string_new(NULL), FALSE};
+        g_autofree char *by_format = read_text(&head, &learned, events[i]);
+        g_autofree char *in_full = read_text(&head, &unlearned, events[i]);
+        g_assert_cmpstr(by_format, ==, in_full);
+        g_string_free(unlearned.prefix, TRUE);
+        g_string_free(unlearned.suffix, TRUE);
     }
     EngineRefusal_t refusal;
     EngineHttp_wire.read_refusal(503, text, strlen(text), &refusal);
--- a/tests/fuzz/targets.c
+++ b/tests/fuzz/targets.c
@@ -27,12 +27,12 @@
     {NULL, NULL},
 };
 
-/* Nothing of what the parsers log is of use here. */
-#define NO_LINES ((LogLevel_t)0)
+/* Disables the log lines of the parsers. */
+#define LOG_LEVEL_NONE ((LogLevel_t)0)
 
 void
 FuzzTargets_begin(void)
 {
     g_assert(sodium_init() >= 0);
-    Log_setLevel(NO_LINES);
+    Log_setLevel(LOG_LEVEL_NONE);
 }
--- a/tests/fuzz/targets.h
+++ b/tests/fuzz/targets.h
@@ -3,28 +3,28 @@
 /**
  * DOC: targets
  *
- * The parsers that bytes from outside reach, each behind one function that
- * takes any bytes. A target checks what must hold for any input by
- * g_assert(); memory and undefined behaviour are left to the sanitizers.
+ * Fuzz targets: one function for each parser of external input. A target
+ * accepts any bytes and checks with g_assert() the properties that hold for
+ * every input. The sanitizers detect memory errors and undefined behaviour.
  */
 #include <glib.h>
 #include <stddef.h>
 #include <stdint.h>
 
 /**
- * struct FuzzTarget_t - one target
- * @name: also that of its folder of seeds
- * @run: returns 0
+ * struct FuzzTarget_t - fuzz target
+ * @name: name of the target and of its seed folder
+ * @run: processes one input; always returns 0
  */
 typedef struct {
     const char *name;
     int (*run)(const uint8_t *data, size_t size);
 } FuzzTarget_t;
 
-/** fuzz_targets - all of them, ended by one without a name */
+/** fuzz_targets - all targets; the last entry has a NULL name */
 extern const FuzzTarget_t fuzz_targets[];
 
-/** FuzzTargets_begin() - once for each process, before any input */
+/** FuzzTargets_begin() - initialize a process before its first input */
 void FuzzTargets_begin(void);
 
 int Fuzz_callerHead(const uint8_t *data, size_t size);
--- a/tests/fuzz/texts.c
+++ b/tests/fuzz/texts.c
@@ -1,4 +1,5 @@
-/* Texts: settings, declarations, bodies of callers, tokens, lines of logs. */
+/* Fuzz targets for texts: settings, declarations, request bodies, resume
+ * tokens, JSON and log lines. */
 #include <stdio.h>
 #include <string.h>
 #include <sys/mman.h>
@@ -15,12 +16,12 @@
 #include "Settings.h"
 #include "targets.h"
 
-/* Fields of a token that is made, each the length that its name may have. */
+/* Longest field of a sealed token in bytes, as a name may have. */
 #define FIELD_MAX 64
 
-/* A file in memory, and the path by which it is read. */
+/* Writes the data to a memory file and returns the path to read it by. */
 static char *
-file_of(const uint8_t *data, size_t size, int *fd)
+create_file(const uint8_t *data, size_t size, int *fd)
 {
     *fd = memfd_create("fuzz", MFD_CLOEXEC);
     g_assert_cmpint(*fd, >=, 0);
@@ -29,7 +30,7 @@
 }
 
 static void
-format_all(const GPtrArray *problems)
+format_problems(const GPtrArray *problems)
 {
     for (guint i = 0; i < problems->len; i++) {
         GString *text = Problem_format(g_ptr_array_index(problems, i));
@@ -37,10 +38,10 @@
     }
 }
 
-/* Where a file without faults has sections, all have lines and so have their
- * keys, or problems would be told without a place. */
+/* Checks that every section and key of a valid file has a line number, which
+ * reports of problems contain. */
 static void
-check_lines(const char *path)
+check_line_numbers(const char *path)
 {
     GPtrArray *problems = Problems_create();
     IniFile_t *ini = IniFile_create(path, problems);
@@ -64,7 +65,7 @@
 Fuzz_settings(const uint8_t *data, size_t size)
 {
     int fd = -1;
-    g_autofree char *path = file_of(data, size, &fd);
+    g_autofree char *path = create_file(data, size, &fd);
     GPtrArray *problems = Problems_create();
     Settings_t *settings = Settings_create(path, problems);
     g_assert((settings == NULL) == (problems->len > 0));
@@ -72,8 +73,8 @@
     if (settings) {
         Settings_destroy(settings);
     }
-    format_all(problems);
-    check_lines(path);
+    format_problems(problems);
+    check_line_numbers(path);
     g_ptr_array_unref(problems);
     close(fd);
     return 0;
@@ -83,7 +84,7 @@
 Fuzz_declarations(const uint8_t *data, size_t size)
 {
     int fd = -1;
-    g_autofree char *path = file_of(data, size, &fd);
+    g_autofree char *path = create_file(data, size, &fd);
     char *paths[] = {path, NULL};
     GPtrArray *problems = Problems_create();
     GPtrArray *objects = Declarations_load(paths, problems);
@@ -92,15 +93,16 @@
         g_assert(KeyTable_isValidName(object->name->str));
     }
     g_assert(problems->len > 0 || size == 0 || !memchr(data, '\0', size));
-    format_all(problems);
-    check_lines(path);
+    format_problems(problems);
+    check_line_numbers(path);
     g_ptr_array_unref(objects);
     g_ptr_array_unref(problems);
     close(fd);
     return 0;
 }
 
-/* Levels rise and end within the prompt. */
+/* Checks that the ends of the prefix levels increase and lie within the
+ * prompt. */
 static void
 check_prompt(gboolean chat, const uint8_t *data, size_t size)
 {
@@ -132,9 +134,10 @@
     return 0;
 }
 
-/* A sealed token opens as it was; with any other bytes it does not. */
+/* A sealed token opens with the same content; a token with a changed first
+ * character is rejected. */
 static void
-check_sealed(const char *text, GBytes *key)
+check_seal(const char *text, GBytes *key)
 {
     g_autofree char *field = g_utf8_make_valid(text, -1);
     *g_utf8_find_prev_char(field, field + MIN(strlen(field), FIELD_MAX) + 1) =
@@ -168,12 +171,13 @@
     if (point) {
         ResumePoint_destroy(point);
     }
-    check_sealed(text, key);
+    check_seal(text, key);
     g_bytes_unref(key);
     return 0;
 }
 
-/* Text that was written as a string is read as the same text. */
+/* Checks that valid UTF-8 text written as a JSON string is read back
+ * unchanged. */
 static void
 check_string(const char *text, gsize length)
 {
@@ -212,9 +216,10 @@
     return 0;
 }
 
-/* The line that is written for two texts, read from the standard output. */
+/* Logs an event with two text values and returns the log line, captured from
+ * the standard output. */
 static char *
-write_line(const char *first, const char *second)
+write_log_line(const char *first, const char *second)
 {
     static int fd = -1;
     if (fd < 0) {
@@ -236,11 +241,12 @@
     return g_strchomp(line);
 }
 
-/* Pairs that were written are read as they were, whatever they hold. */
+/* Checks that the values of a log line are read back unchanged, whatever
+ * characters they contain. */
 static void
-check_written(const char *first, const char *second)
+check_log_line(const char *first, const char *second)
 {
-    g_autofree char *line = write_line(first, second);
+    g_autofree char *line = write_log_line(first, second);
     g_autofree char *first_read = LogLine_value(line, " first=");
     g_autofree char *second_read = LogLine_value(line, " second=");
     gint64 stamp_us = 0;
@@ -263,7 +269,7 @@
     LogLine_hasPair(text, " a=b");
     LogLine_number(text, " n=", 0);
     g_auto(GStrv) halves = g_strsplit(text, "\n", 2);
-    check_written(halves[0] ? halves[0] : "",
-                  halves[0] && halves[1] ? halves[1] : "");
+    check_log_line(halves[0] ? halves[0] : "",
+                   halves[0] && halves[1] ? halves[1] : "");
     return 0;
 }
--- a/tests/suspended_clock.c
+++ b/tests/suspended_clock.c
@@ -1,8 +1,9 @@
 /**
  * DOC: suspended_clock
  *
- * Preloaded into a router, it moves the clocks that go on while a machine is
- * suspended by as many seconds as the file named by SUSPENDED_CLOCK says.
+ * Simulates a suspended machine in a router that preloads this library:
+ * CLOCK_BOOTTIME and CLOCK_REALTIME, which continue during a suspension, are
+ * advanced by the number of seconds in the file named by SUSPENDED_CLOCK.
  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/test_CrashNews.c
+++ b/tests/test_CrashNews.c
@@ -173,9 +173,9 @@
     add(1, 12);
     FakeRouters_run(&routers, BROADCASTS_MS);
     ck_assert_uint_gt(count_sent(1), 1);
-    for (guint i = 0; i < routers.list[1].told->len; i++) {
+    for (guint i = 0; i < routers.list[1].received->len; i++) {
         const Wt__PeerMessage *message =
-            g_ptr_array_index(routers.list[1].told, i);
+            g_ptr_array_index(routers.list[1].received, i);
         if (message->body_case == WT__PEER_MESSAGE__BODY_CRASH_NEWS) {
             ck_assert_uint_le(message->crash_news->n_facts, 32);
             ck_assert_uint_eq(message->crash_news->facts[0]->n_crashes, 2);
--- a/tests/test_Lease.c
+++ b/tests/test_Lease.c
@@ -127,7 +127,7 @@
     guint64 copy = this->lengths[(this->checks - lost - 1) % LENGTHS];
     copy = MIN(copy, FakeLog_length(this->log));
     FakeLog_comeBackOlder(this->log, copy);
-    FakeLog_setAway(this->log, FALSE);
+    FakeLog_setUnavailable(this->log, FALSE);
     this->back_ms = 0;
     this->restores++;
     /* Lost records do not reappear with the next restore. */
@@ -170,14 +170,14 @@
     switch (draw_between(this, 0, 6)) {
     case 0:
     case 1:
-        FakeLog_setAway(this->log, TRUE);
+        FakeLog_setUnavailable(this->log, TRUE);
         this->back_ms = now_ms + draw_between(this, 10, 200);
         break;
     case 2:
         restore_log(this); /* at once: no call sees the log away */
         break;
     case 3:
-        FakeLog_setCut(router->client, draw_between(this, 100, 900));
+        FakeLog_delayAnswers(router->client, draw_between(this, 100, 900));
         break;
     case 4:
         stop_router(router);
--- a/tests/test_ListExchange.c
+++ b/tests/test_ListExchange.c
@@ -230,9 +230,9 @@
 }
 
 static void
-receive(void *taker, Member_t *from, const Wt__PeerMessage *message)
+receive(void *handler_data, Member_t *from, const Wt__PeerMessage *message)
 {
-    Router_t *this = taker;
+    Router_t *this = handler_data;
     switch (message->body_case) {
     case WT__PEER_MESSAGE__BODY_LIST_ASK:
         UpstreamListing_answerListQuery(this->listing, from,
@@ -272,8 +272,8 @@
         .return_ms = RETURN_MS,
     };
     this->listing = UpstreamListing_create(routers.base, &spec);
-    routers.list[idx].take = receive;
-    routers.list[idx].taker = this;
+    routers.list[idx].handler = receive;
+    routers.list[idx].handler_data = this;
 }
 
 /* The store rejects the calls of the first @rejected routers. */
@@ -297,7 +297,7 @@
 teardown(void)
 {
     for (guint i = 0; i < routers.count; i++) {
-        routers.list[i].take = NULL;
+        routers.list[i].handler = NULL;
         UpstreamListing_destroy(nodes[i].listing);
         UpstreamSet_destroy(nodes[i].upstreams);
         StoreEpoch_destroy(nodes[i].epoch);
@@ -398,9 +398,10 @@
 END_TEST
 
 static void
-drop_message(void *taker, Member_t *from, const Wt__PeerMessage *message)
+drop_message(void *handler_data, Member_t *from,
+             const Wt__PeerMessage *message)
 {
-    (void)taker;
+    (void)handler_data;
     (void)from;
     (void)message;
 }
@@ -411,7 +412,7 @@
     for (guint i = 0; i < routers.count; i++) {
         nodes[i].rejected = rejected;
         nodes[i].answered = 0;
-        routers.list[i].take = drop_message;
+        routers.list[i].handler = drop_message;
     }
 }
 
--- a/tests/test_RateKeeper.c
+++ b/tests/test_RateKeeper.c
@@ -21,10 +21,10 @@
 base_spec(double per_s, double load)
 {
     return (FakeRatesSpec_t){
-        .way = FAKE_RATES_ASK,
+        .method = FAKE_RATES_KEEPER,
         .seed = 1,
         .routers = 90,
-        .callers_at = 90,
+        .caller_routers = 90,
         .per_s = per_s,
         .load = load,
         .units = REQUEST_UNITS,
@@ -49,7 +49,7 @@
 {
     spec.seconds = 40;
     for (spec.seed = 1; spec.seed <= SEEDS; spec.seed++) {
-        FakeRatesResult_t result = FakeRates_play(&spec);
+        FakeRatesResult_t result = FakeRates_simulate(&spec);
         ck_assert_msg(result.excess <= excess_allowed(&spec),
                       "seed %u per_s %.0f: excess %.2f of %.2f", spec.seed,
                       spec.per_s, result.excess, excess_allowed(&spec));
@@ -71,8 +71,8 @@
     for (gsize i = 0; i < G_N_ELEMENTS(routers); i++) {
         FakeRatesSpec_t spec = base_spec(LARGE_PER_S, HOT_LOAD);
         spec.routers = routers[i];
-        spec.callers_at = routers[i];
-        FakeRatesResult_t result = FakeRates_play(&spec);
+        spec.caller_routers = routers[i];
+        FakeRatesResult_t result = FakeRates_simulate(&spec);
         ck_assert_double_ge(admitted_fraction(&spec, &result), 0.95);
         ck_assert_double_le(admitted_fraction(&spec, &result), 1.06);
         ck_assert_double_le(result.excess, 0);
@@ -85,16 +85,16 @@
 START_TEST(no_limit_or_fixed_shares_admit_too_much_or_too_little)
 {
     FakeRatesSpec_t spec = base_spec(SMALL_PER_S, HOT_LOAD);
-    spec.way = FAKE_RATES_NONE;
-    FakeRatesResult_t none = FakeRates_play(&spec);
+    spec.method = FAKE_RATES_NONE;
+    FakeRatesResult_t none = FakeRates_simulate(&spec);
     ck_assert_double_ge(none.excess, excess_allowed(&spec));
-    spec.way = FAKE_RATES_SHARE;
-    FakeRatesResult_t share = FakeRates_play(&spec);
+    spec.method = FAKE_RATES_SHARE;
+    FakeRatesResult_t share = FakeRates_simulate(&spec);
     ck_assert_double_ge(share.excess, excess_allowed(&spec));
     spec = base_spec(LARGE_PER_S, USUAL_LOAD);
-    spec.way = FAKE_RATES_SHARE;
-    share = FakeRates_play(&spec);
-    ck_assert_uint_ge(share.refused * 10, share.asked);
+    spec.method = FAKE_RATES_SHARE;
+    share = FakeRates_simulate(&spec);
+    ck_assert_uint_ge(share.refused * 10, share.requests);
 }
 END_TEST
 
@@ -102,26 +102,26 @@
  * those that a single bucket for all routers would refuse. A customer with few
  * requests per second gets some of the latter at random. */
 static void
-check_refusals(guint routers, guint callers_at, double per_s, double load,
+check_refusals(guint routers, guint caller_routers, double per_s, double load,
                guint extra_per_1000)
 {
     FakeRatesSpec_t spec = base_spec(per_s, load);
     guint refused = 0;
     guint refused_by_one_bucket = 0;
-    guint asked = 0;
+    guint requests = 0;
     spec.routers = routers;
-    spec.callers_at = callers_at;
+    spec.caller_routers = caller_routers;
     for (spec.seed = 1; spec.seed <= 2 * SEEDS; spec.seed++) {
-        FakeRatesResult_t result = FakeRates_play(&spec);
+        FakeRatesResult_t result = FakeRates_simulate(&spec);
         refused += result.refused;
-        refused_by_one_bucket += result.refused_by_one;
-        asked += result.asked;
+        refused_by_one_bucket += result.ideal_refused;
+        requests += result.requests;
     }
     ck_assert_msg(
         refused * 1000 <=
-            refused_by_one_bucket * 1000 + asked * extra_per_1000,
+            refused_by_one_bucket * 1000 + requests * extra_per_1000,
         "%u routers, callers at %u, per_s %.0f: %u, by one %u, of %u", routers,
-        callers_at, per_s, refused, refused_by_one_bucket, asked);
+        caller_routers, per_s, refused, refused_by_one_bucket, requests);
 }
 
 START_TEST(requests_within_the_limit_are_admitted)
@@ -143,10 +143,10 @@
     for (gsize i = 0; i < G_N_ELEMENTS(routers); i++) {
         FakeRatesSpec_t spec = base_spec(LARGE_PER_S, USUAL_LOAD);
         spec.routers = routers[i];
-        spec.callers_at = routers[i];
+        spec.caller_routers = routers[i];
         spec.seconds = 60;
-        FakeRatesResult_t result = FakeRates_play(&spec);
-        ck_assert_uint_le(result.messages, result.asked * 3);
+        FakeRatesResult_t result = FakeRates_simulate(&spec);
+        ck_assert_uint_le(result.messages, result.requests * 3);
     }
 }
 END_TEST
@@ -155,10 +155,10 @@
 START_TEST(a_request_waits_for_at_most_one_reply)
 {
     FakeRatesSpec_t spec = base_spec(LARGE_PER_S, 0.9);
-    FakeRatesResult_t result = FakeRates_play(&spec);
+    FakeRatesResult_t result = FakeRates_simulate(&spec);
     ck_assert_double_le(result.mean_wait_ms, 4);
     spec.load = USUAL_LOAD;
-    result = FakeRates_play(&spec);
+    result = FakeRates_simulate(&spec);
     ck_assert_double_le(result.mean_wait_ms, 2);
 }
 END_TEST
@@ -205,16 +205,16 @@
 {
     FakeRatesSpec_t spec = base_spec(LARGE_PER_S, USUAL_LOAD);
     guint refused = 0;
-    guint asked = 0;
+    guint requests = 0;
     spec.cuts = TRUE;
     spec.kills = TRUE;
     spec.seconds = 40;
     for (spec.seed = 1; spec.seed <= SEEDS; spec.seed++) {
-        FakeRatesResult_t result = FakeRates_play(&spec);
+        FakeRatesResult_t result = FakeRates_simulate(&spec);
         refused += result.refused;
-        asked += result.asked;
+        requests += result.requests;
     }
-    ck_assert_msg(refused * 20 <= asked, "%u of %u", refused, asked);
+    ck_assert_msg(refused * 20 <= requests, "%u of %u", refused, requests);
 }
 END_TEST
 
@@ -226,14 +226,14 @@
 limited_upstream(guint routers, double per_s)
 {
     return (FakeRatesSpec_t){
-        .way = FAKE_RATES_ASK,
+        .method = FAKE_RATES_KEEPER,
         .routers = routers,
-        .callers_at = routers,
+        .caller_routers = routers,
         .per_s = per_s,
         .load = 4,
         .units = 1,
         .seconds = 40,
-        .of_upstream = TRUE,
+        .is_upstream_limit = TRUE,
     };
 }
 
@@ -250,8 +250,8 @@
 {
     UpstreamResult_t total = {0, 0};
     for (spec.seed = 1; spec.seed <= SEEDS; spec.seed++) {
-        FakeRatesResult_t result = FakeRates_play(&spec);
-        total.max_in_4_s = MAX(total.max_in_4_s, result.most);
+        FakeRatesResult_t result = FakeRates_simulate(&spec);
+        total.max_in_4_s = MAX(total.max_in_4_s, result.peak_units);
         total.mean_fraction += admitted_fraction(&spec, &result) / SEEDS;
     }
     return total;
@@ -282,9 +282,9 @@
 {
     FakeRatesSpec_t spec = limited_upstream(300, 1.7);
     spec.seed = 1;
-    FakeRatesResult_t result = FakeRates_play(&spec);
+    FakeRatesResult_t result = FakeRates_simulate(&spec);
     ck_assert_uint_le(result.messages,
-                      2 * result.asked_keeper + 40 * spec.seconds);
+                      2 * result.acquire_calls + 40 * spec.seconds);
 }
 END_TEST
 
@@ -312,9 +312,9 @@
 START_TEST(an_upstreams_limit_needs_one_shared_count)
 {
     FakeRatesSpec_t spec = limited_upstream(100, 1.7);
-    spec.way = FAKE_RATES_NONE;
+    spec.method = FAKE_RATES_NONE;
     ck_assert_double_gt(run_upstream(spec).max_in_4_s, 6 * 1.7 + 5);
-    spec.way = FAKE_RATES_SHARE;
+    spec.method = FAKE_RATES_SHARE;
     ck_assert_double_lt(run_upstream(spec).mean_fraction, 0.5);
 }
 END_TEST
--- a/tests/test_Replay.c
+++ b/tests/test_Replay.c
@@ -5,10 +5,10 @@
 #include "Problem.h"
 #include "Replay.h"
 
-/* The load of the worst hour, on fewer engines so that it takes no second:
- * engines run all requests that they have slots for, and a quarter of them is
- * gone for most of the time. */
-#define WORST                                                                 \
+/* The load of the worst hour, scaled down to fewer engines so that it runs in
+ * less than a second: all slots of the engines are in use, and a quarter of
+ * the engines does not respond for most of the time. */
+#define WORST_HOUR                                                            \
     "[fleet]\nduration = 8s\nengines = 48\ngroups = 4\nslots = 16\n"          \
     "cache_tokens = 90597\nprompt_tokens_ms = 57\nstep_us = 3090\n"           \
     "step_run_us = 102\nmove_us = 8000\nstore_us = 15000\nstores = 3\n"       \
@@ -36,7 +36,7 @@
 }
 
 static ReplaySpec_t
-load(const char *text)
+load_spec(const char *text)
 {
     ReplaySpec_t spec;
     g_autoptr(GPtrArray) problems = Problems_create();
@@ -44,13 +44,13 @@
     return spec;
 }
 
-/* Mean worth of a few seeds. */
+/* Mean value of the replays with the seeds 1 to SEEDS. */
 static double
-worth(const char *text, guint decisions)
+mean_value(const char *text, guint decisions)
 {
     double sum = 0;
     for (guint seed = 1; seed <= SEEDS; seed++) {
-        ReplaySpec_t spec = load(text);
+        ReplaySpec_t spec = load_spec(text);
         ReplayResult_t result;
         spec.fleet.seed = seed;
         Replay_play(&spec, decisions, &result);
@@ -62,15 +62,15 @@
 static double
 loss_without(const char *text, guint decision)
 {
-    double with = worth(text, REPLAY_ALL);
-    double without = worth(text, REPLAY_ALL & ~decision);
-    g_print("worth %.3f, without %.3f\n", with, without);
+    double with = mean_value(text, REPLAY_ALL);
+    double without = mean_value(text, REPLAY_ALL & ~decision);
+    g_print("value %.3f, without the decision %.3f\n", with, without);
     return with - without;
 }
 
-START_TEST(the_same_seed_plays_the_same)
+START_TEST(the_same_seed_gives_the_same_result)
 {
-    ReplaySpec_t spec = load(WORST);
+    ReplaySpec_t spec = load_spec(WORST_HOUR);
     ReplayResult_t first;
     ReplayResult_t second;
     Replay_play(&spec, REPLAY_ALL, &first);
@@ -80,9 +80,9 @@
 }
 END_TEST
 
-START_TEST(every_request_ends_in_one_way)
+START_TEST(every_request_has_exactly_one_outcome)
 {
-    ReplaySpec_t spec = load(WORST);
+    ReplaySpec_t spec = load_spec(WORST_HOUR);
     ReplayResult_t result;
     Replay_play(&spec, REPLAY_ALL, &result);
     for (guint kind = 0; kind < 2; kind++) {
@@ -119,7 +119,7 @@
      PROBLEM_UNKNOWN_SECTION, 7, ""},
 };
 
-START_TEST(a_fault_of_a_file_names_line_and_key)
+START_TEST(a_problem_in_a_file_has_its_line_and_key)
 {
     for (gsize i = 0; i < G_N_ELEMENTS(faults); i++) {
         ReplaySpec_t spec;
@@ -133,51 +133,52 @@
 }
 END_TEST
 
-/* An engine too small for its requests, and a rate of nothing. */
-START_TEST(loads_at_the_edge_are_played)
+/* An engine whose cache is smaller than its requests, and a request rate of
+ * 0. */
+START_TEST(extreme_loads_are_replayed)
 {
     ReplayResult_t result;
-    ReplaySpec_t spec = load("[fleet]\nengines = 1\nslots = 1\n"
-                             "cache_tokens = 1\nprompt_tokens_ms = 1\n"
-                             "step_us = 1000\nduration = 2s\n"
-                             "[kind-1]\nrate = 3\nprefixes = 1000000\n"
-                             "shared_tokens = 500\ndeadline = 2s\n"
-                             "[kind-2]\nrate = 0\n");
+    ReplaySpec_t spec = load_spec("[fleet]\nengines = 1\nslots = 1\n"
+                                  "cache_tokens = 1\nprompt_tokens_ms = 1\n"
+                                  "step_us = 1000\nduration = 2s\n"
+                                  "[kind-1]\nrate = 3\nprefixes = 1000000\n"
+                                  "shared_tokens = 500\ndeadline = 2s\n"
+                                  "[kind-2]\nrate = 0\n");
     Replay_play(&spec, REPLAY_ALL, &result);
     ck_assert_uint_gt(result.kinds[0].asked, 0);
     ck_assert_uint_eq(result.kinds[1].asked, 0);
 }
 END_TEST
 
-START_TEST(refusing_what_would_be_late_is_worth_it)
+START_TEST(shedding_late_requests_increases_the_value)
 {
-    ck_assert(loss_without(WORST, REPLAY_SHED) > 0.1);
+    ck_assert(loss_without(WORST_HOUR, REPLAY_SHED) > 0.1);
 }
 END_TEST
 
-START_TEST(going_where_the_prefix_lives_is_worth_it)
+START_TEST(routing_by_prefix_increases_the_value)
 {
-    ck_assert(loss_without(WORST, REPLAY_PREFIX) > 0.1);
+    ck_assert(loss_without(WORST_HOUR, REPLAY_PREFIX) > 0.1);
 }
 END_TEST
 
-START_TEST(to_count_the_slots_is_worth_it)
+START_TEST(counting_slots_increases_the_value)
 {
-    ck_assert(loss_without(WORST, REPLAY_SLOTS) > 0.02);
+    ck_assert(loss_without(WORST_HOUR, REPLAY_SLOTS) > 0.02);
 }
 END_TEST
 
-START_TEST(to_follow_what_an_engine_holds_is_worth_it)
+START_TEST(tracking_engine_caches_increases_the_value)
 {
-    ck_assert(loss_without(WORST, REPLAY_MEMORY) > 0.1);
+    ck_assert(loss_without(WORST_HOUR, REPLAY_MEMORY) > 0.1);
 }
 END_TEST
 
-TESTING_MAIN("Replay", the_same_seed_plays_the_same,
-             every_request_ends_in_one_way,
-             a_fault_of_a_file_names_line_and_key,
-             loads_at_the_edge_are_played,
-             refusing_what_would_be_late_is_worth_it,
-             going_where_the_prefix_lives_is_worth_it,
-             to_count_the_slots_is_worth_it,
-             to_follow_what_an_engine_holds_is_worth_it)
+TESTING_MAIN("Replay", the_same_seed_gives_the_same_result,
+             every_request_has_exactly_one_outcome,
+             a_problem_in_a_file_has_its_line_and_key,
+             extreme_loads_are_replayed,
+             shedding_late_requests_increases_the_value,
+             routing_by_prefix_increases_the_value,
+             counting_slots_increases_the_value,
+             tracking_engine_caches_increases_the_value)
--- a/tests/test_UpstreamProber.c
+++ b/tests/test_UpstreamProber.c
@@ -154,7 +154,7 @@
 count_sent_hints(guint router, HintKind_t kind)
 {
     guint found = 0;
-    const GPtrArray *sent = routers.list[router].told;
+    const GPtrArray *sent = routers.list[router].received;
     for (guint i = 0; i < sent->len; i++) {
         const Wt__PeerMessage *message = g_ptr_array_index(sent, i);
         gboolean is_hints = message->body_case == WT__PEER_MESSAGE__BODY_HINTS;
--- a/tests/testing.h
+++ b/tests/testing.h
@@ -3,14 +3,14 @@
 /**
  * DOC: testing
  *
- * What every test program of a module starts with.
+ * Common includes and main function of the module tests.
  */
 #include <check.h>
 #include <glib.h>
 #include <sodium.h>
 #include <stdlib.h>
 
-/** TESTING_MAIN() - run the cases of one test program */
+/** TESTING_MAIN() - define a main function that runs the given tests */
 #define TESTING_MAIN(name, ...)                                               \
     int main(void)                                                            \
     {                                                                         \
