--- a/tests/sessions/test_limits.py
+++ b/tests/sessions/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of customers, which hold over all routers together."""
+"""Rate limits of customers, which apply to all routers together."""
 import time
 import unittest
 
@@ -16,7 +16,7 @@
         self.addCleanup(self.fleet.close)
 
     def start(self, count, *customers):
-        """So many routers that know each other."""
+        """Starts count routers and waits until they know each other."""
         self.fleet.config(customers=list(customers))
         routers = []
         for number in range(count):
@@ -29,8 +29,8 @@
                      len(r.events("member_joined")) >= count - 1, "peers")
         return routers
 
-    def ask_all(self, routers, count, path="/read/x", **more):
-        """Statuses of so many requests, one router after the other."""
+    def send_requests(self, routers, count, path="/read/x", **more):
+        """Sends count requests to the routers in turn, returns statuses."""
         return [self.fleet.ask(routers[n % len(routers)], path, **more).status
                 for n in range(count)]
 
@@ -46,19 +46,20 @@
         plain = self.fleet.plain("p1")
         routers = self.start(3, customer("a", rate_per_s=2, burst=4),
                              customer("b"))
-        began = time.monotonic()
-        statuses = self.ask_all(routers, 45)
-        passed = time.monotonic() - began
-        self.assertLessEqual(statuses.count(200), 4 + 2 * passed + 1)
+        begin_s = time.monotonic()
+        statuses = self.send_requests(routers, 45)
+        elapsed_s = time.monotonic() - begin_s
+        self.assertLessEqual(statuses.count(200), 4 + 2 * elapsed_s + 1)
         self.assertGreaterEqual(statuses.count(200), 1)
         self.assertEqual(set(statuses), {200, 429})
         self.assertEqual(len(plain.seen), statuses.count(200))
-        self.assertEqual(self.ask_all(routers, 9, key="key-b"), [200] * 9)
+        self.assertEqual(self.send_requests(routers, 9, key="key-b"),
+                         [200] * 9)
 
     def test_who_is_refused_is_told_when_there_is_room(self):
         self.fleet.plain("p1")
         routers = self.start(2, customer("a", rate_per_s=2, burst=2))
-        self.ask_all(routers, 6)
+        self.send_requests(routers, 6)
         refused = self.fleet.ask(routers[0], "/read/x")
         self.assertEqual(refused.status, 429)
         self.assertIn(b'"code":"rate_limited"', refused.body)
@@ -77,37 +78,37 @@
         self.fleet.plain("p1")
         routers = self.start(2, customer("a", unit="tokens", rate_per_s=100,
                                          burst=1000, plain_tokens=1))
-        first = self.ask_all(routers, 1, "/ask/x")
-        second = self.ask_all(routers, 2, "/ask/x")
+        first = self.send_requests(routers, 1, "/ask/x")
+        second = self.send_requests(routers, 2, "/ask/x")
         self.assertEqual(first, [200])
         self.assertIn(429, second)
         line = (routers[0].events("request_limited") +
                 routers[1].events("request_limited"))[0]
         self.assertEqual(line["units"], "310")
-        wait_for(lambda: self.ask_all(routers, 1)[0] == 200,
+        wait_for(lambda: self.send_requests(routers, 1)[0] == 200,
                  "room for a plain call")
 
     def test_what_did_not_run_is_given_back(self):
         plain = self.fleet.plain("p1")
         plain.shed = True
         routers = self.start(1, customer("a", rate_per_s=0.001, burst=1))
-        self.assertEqual(self.ask_all(routers, 3), [503] * 3)
+        self.assertEqual(self.send_requests(routers, 3), [503] * 3)
         plain.shed = False
-        self.assertEqual(self.ask_all(routers, 2), [200, 429])
+        self.assertEqual(self.send_requests(routers, 2), [200, 429])
 
     def test_the_others_go_on_without_the_router_that_counts(self):
         self.fleet.plain("p1")
         routers = self.start(3, customer("a", rate_per_s=20, burst=20))
-        self.assertIn(200, self.ask_all(routers, 6))
+        self.assertIn(200, self.send_requests(routers, 6))
         routers[0].kill()
-        rest = routers[1:]
-        wait_for(lambda: self.ask_all(rest, 1)[0] == 200, "served")
-        began = time.monotonic()
+        remaining = routers[1:]
+        wait_for(lambda: self.send_requests(remaining, 1)[0] == 200, "served")
+        begin_s = time.monotonic()
         statuses = []
-        while time.monotonic() - began < 2:
-            statuses += self.ask_all(rest, 10)
-        passed = time.monotonic() - began
-        self.assertLessEqual(statuses.count(200), 20 + 20 * passed + 2)
+        while time.monotonic() - begin_s < 2:
+            statuses += self.send_requests(remaining, 10)
+        elapsed_s = time.monotonic() - begin_s
+        self.assertLessEqual(statuses.count(200), 20 + 20 * elapsed_s + 2)
         self.assertGreaterEqual(statuses.count(200), 20)
 
 
@@ -115,32 +116,33 @@
     def test_a_limit_is_lowered_raised_and_taken_off(self):
         self.fleet.plain("p1")
         routers = self.start(2, customer("a", rate_per_s=1000, burst=1000))
-        self.assertEqual(self.ask_all(routers, 20), [200] * 20)
+        self.assertEqual(self.send_requests(routers, 20), [200] * 20)
         self.fleet.config(customers=[customer("a", rate_per_s=1, burst=1)])
         self.wait_version(routers, 2)
-        self.assertGreaterEqual(self.ask_all(routers, 20).count(429), 15)
+        self.assertGreaterEqual(self.send_requests(routers, 20).count(429), 15)
         self.fleet.config(
             customers=[customer("a", rate_per_s=1000, burst=1000)])
         self.wait_version(routers, 3)
         time.sleep(0.5)
-        self.assertEqual(self.ask_all(routers, 20), [200] * 20)
+        self.assertEqual(self.send_requests(routers, 20), [200] * 20)
         self.fleet.config(customers=[customer("a", rate_per_s=0, burst=0)])
         self.wait_version(routers, 4)
-        self.assertEqual(self.ask_all(routers, 20), [200] * 20)
+        self.assertEqual(self.send_requests(routers, 20), [200] * 20)
 
     def test_odd_limits_stop_nobody(self):
         self.fleet.plain("p1")
-        odd = [{"rate_per_s": "many"}, {"rate_per_s": -3}, {"rate_per_s": 0.5},
-               {"rate_per_s": 1e300, "burst": 1e300}, {"rate_per_s": None},
-               {"rate_per_s": 5, "burst": -1}, {"burst": 7}, {"unit": 4},
-               {"unit": "tokens", "rate_per_s": 100, "plain_tokens": "x"}]
-        names = ["o%d" % number for number in range(len(odd))]
+        unusual = [
+            {"rate_per_s": "many"}, {"rate_per_s": -3}, {"rate_per_s": 0.5},
+            {"rate_per_s": 1e300, "burst": 1e300}, {"rate_per_s": None},
+            {"rate_per_s": 5, "burst": -1}, {"burst": 7}, {"unit": 4},
+            {"unit": "tokens", "rate_per_s": 100, "plain_tokens": "x"}]
+        names = ["o%d" % number for number in range(len(unusual))]
         routers = self.start(1, customer("a"), *[
-            customer(name, **limit) for name, limit in zip(names, odd)])
+            customer(name, **limit) for name, limit in zip(names, unusual)])
         for name in names:
             self.assertEqual(
-                self.ask_all(routers, 1, key="key-" + name), [200], name)
-        self.assertEqual(self.ask_all(routers, 5), [200] * 5)
+                self.send_requests(routers, 1, key="key-" + name), [200], name)
+        self.assertEqual(self.send_requests(routers, 5), [200] * 5)
 
 
 if __name__ == "__main__":
