--- a/tests/sessions/test_native_limits.py
+++ b/tests/sessions/test_native_limits.py
@@ -1,5 +1,4 @@
-"""Limits that engines and plain services name, on the project's own
-interface."""
+"""Rate limits that engines and services announce on the native interface."""
 import time
 import unittest
 
@@ -9,7 +8,7 @@
 BODY = {"model": "m", "prompt": "What is open today?", "max_tokens": 3}
 
 
-def ask(router, number):
+def complete(router, number):
     return router.complete(dict(BODY, prompt="%d %s" % (number, "word " * 80)))
 
 
@@ -23,30 +22,30 @@
         self.cluster.engine("e2")
         routers = self.cluster.start("r1", "r2")
         first.control(limit_milli=2000)
-        press_in_turn(1, lambda n: ask(routers[n % 2], n))
+        press_in_turn(1, lambda n: complete(routers[n % 2], n))
         before = first.state()["asked"]
-        statuses = press_in_turn(4, lambda n: ask(routers[n % 2], n))
-        came = first.state()["asked"] - before
+        statuses = press_in_turn(4, lambda n: complete(routers[n % 2], n))
+        received = first.state()["asked"] - before
         self.assertEqual(set(statuses), {200})
-        self.assertLessEqual(came, 2 * 4 + 3)
-        self.assertGreaterEqual(came, 0.9 * 2 * 4 - 1)
+        self.assertLessEqual(received, 2 * 4 + 3)
+        self.assertGreaterEqual(received, 0.9 * 2 * 4 - 1)
         first.control(limit_milli=-1)
-        press_in_turn(1.5, lambda n: ask(routers[n % 2], n))
+        press_in_turn(1.5, lambda n: complete(routers[n % 2], n))
         before = first.state()["asked"]
-        press_in_turn(1, lambda n: ask(routers[n % 2], n))
+        press_in_turn(1, lambda n: complete(routers[n % 2], n))
         self.assertGreaterEqual(first.state()["asked"] - before, 8)
 
     def test_what_none_takes_is_refused_at_once(self):
         first = self.cluster.engine("e1")
         router = self.cluster.start()
         first.control(limit_milli=1000)
-        press_in_turn(0.5, lambda n: ask(router, n))
+        press_in_turn(0.5, lambda n: complete(router, n))
         before = first.state()["asked"]
-        statuses = press_in_turn(3, lambda n: ask(router, n))
-        came = first.state()["asked"] - before
-        self.assertLessEqual(came, 3 + 2)
+        statuses = press_in_turn(3, lambda n: complete(router, n))
+        received = first.state()["asked"] - before
+        self.assertLessEqual(received, 3 + 2)
         self.assertEqual(set(statuses), {200, 503})
-        refused = ask(router, 0)
+        refused = complete(router, 0)
         if refused.status == 503:
             self.assertEqual(refused.json()["error"]["code"],
                              "upstreams_limited")
@@ -60,31 +59,32 @@
         routers = self.cluster.start("r1", "r2")
 
         def send(number):
-            return routers[number % 2].complete({}, path="/v1/services/notes/x")
+            return routers[number % 2].complete(
+                {}, path="/v1/services/notes/x")
         first.control(limit_milli=2000)
         press_in_turn(1, send)
-        before = self.count(first)
+        before = self.count_requests(first)
         statuses = press_in_turn(4, send)
-        came = self.count(first) - before
+        received = self.count_requests(first) - before
         self.assertEqual(set(statuses), {200})
-        self.assertLessEqual(came, 2 * 4 + 3)
-        self.assertGreaterEqual(came, 0.9 * 2 * 4 - 1)
+        self.assertLessEqual(received, 2 * 4 + 3)
+        self.assertGreaterEqual(received, 0.9 * 2 * 4 - 1)
 
-    def count(self, service):
+    def count_requests(self, service):
         return sum(service.call("GET", "/records").values())
 
     def test_a_resume_waits_for_room(self):
         first = self.cluster.engine("e1", decode_ms=5)
         router = self.cluster.start()
         first.control(limit_milli=1000)
-        press_in_turn(0.3, lambda n: ask(router, n))
+        press_in_turn(0.3, lambda n: complete(router, n))
         time.sleep(1.2)
         first.control(cut_after=2, cuts=2)
         before = first.state()["asked"]
-        began = time.monotonic()
+        start_s = time.monotonic()
         stream = router.stream(dict(BODY, max_tokens=8))
         self.assertEqual(len(stream.read().tokens()), 8)
-        self.assertGreaterEqual(time.monotonic() - began, 1)
+        self.assertGreaterEqual(time.monotonic() - start_s, 1)
         self.assertEqual(first.state()["asked"] - before, 3)
 
 
