--- a/tests/sessions/test_store_returns.py
+++ b/tests/sessions/test_store_returns.py
@@ -1,17 +1,19 @@
-"""A store that was away and comes back from an older copy: what was written
-last is gone, and offsets are given out again."""
+"""A store that was down and is restored from an older copy.
+
+The last records are lost, and their offsets are assigned again.
+"""
 import time
 import unittest
 
 from cluster import CONTINUE, STOP, wait_for
 from fleet import CUSTOMERS, Fleet
 
-IN_FORCE_S = 2  # in which an acknowledged configuration must be in force
-OUTAGE_S = 0.5  # in which each router has had a call fail
-ORDERED_S = 4  # longer than a router takes from its start to its first order
-LISTED_S = 0.5  # in which a list that was asked for has been read
-LAPSED_S = 2  # longer than an entry may be missing after an outage
-EARLIER = 6  # versions before the copy and after it, more than come after
+IN_FORCE_S = 2  # until an acknowledged configuration must be in force
+OUTAGE_S = 0.5  # long enough for a call of each router to fail
+FIRST_ORDER_S = 4  # longer than from a router's start to its first order
+LIST_READ_S = 0.5  # until a router has read the list that it requested
+MISSING_S = 2  # longer than an entry may be missing after an outage
+LOST_VERSIONS = 6  # lost by the restore; more than are written after it
 
 
 class ReturnTest(unittest.TestCase):
@@ -20,7 +22,7 @@
         self.addCleanup(self.fleet.close)
         self.store = self.fleet.store
 
-    def configure(self, times):
+    def write_configurations(self, times):
         for _ in range(times):
             self.fleet.config()
 
@@ -34,24 +36,26 @@
         time.sleep(OUTAGE_S)
         self.store.come_back_older(copy)
 
-    def name_weights(self, version):
+    def declare_weights(self, version):
         self.store.put("keyed.op", "version/m",
                        {"model": "m", "version": version})
 
 
 class ConfigurationTest(ReturnTest):
     def test_a_change_after_the_return_is_in_force(self):
-        """A store came back without the last configurations. The operator
-        wrote the newest again and then newer ones, which the store
-        acknowledged; for seconds routers answered 404 for a route that the
-        new ones had, and let in a key that they had revoked. All three
-        routers had listed the topic anew ("topic_listed_anew next=7") and
-        told nothing of versions 25, 27 and 29, which had offsets 3 to 5,
-        though the first of them was acknowledged 2.7 s before version 31, of
-        offset 7, was taken."""
+        """Routers skipped configurations written after a restore.
+
+        The restored store lacked the last configurations. The operator wrote
+        the newest again and then newer ones, which the store acknowledged;
+        for seconds routers answered 404 for a route that the new ones had,
+        and accepted a key that they had revoked. All three routers had listed
+        the topic again ("topic_listed_anew next=7") and logged nothing of
+        versions 25, 27 and 29 at offsets 3 to 5, though the first of them was
+        acknowledged 2.7 s before version 31, at offset 7, was applied.
+        """
         router = self.fleet.start()
         copy = self.store.copy()
-        self.configure(EARLIER)
+        self.write_configurations(LOST_VERSIONS)
         self.await_version(router, self.fleet.version)
         self.come_back_older(copy)
         self.fleet.config(self.fleet.version)  # written again
@@ -60,26 +64,29 @@
         self.assertEqual(self.fleet.ask(router, "/read/x").status, 401)
 
     def test_a_change_that_a_later_read_does_not_show_is_in_force(self):
-        """As above, but the log has grown past the router's next offset
-        before the router reads again, so that no read is refused: the change
-        stands below that offset and was not read by any call."""
+        """As above, but the store refuses no read.
+
+        The log grows past the router's next offset before the router reads
+        again. The change lies below that offset, where no call reads it.
+        """
         router = self.fleet.start(config_wait="5s", reader_wait="5s")
         copy = self.store.copy()
-        self.configure(EARLIER)
+        self.write_configurations(LOST_VERSIONS)
         self.await_version(router, self.fleet.version)
         router.signal(STOP)
         self.store.come_back_older(copy)
         self.fleet.config()
-        for version in range(2, 2 + 2 * EARLIER):
-            self.name_weights(version)
+        for version in range(2, 2 + 2 * LOST_VERSIONS):
+            self.declare_weights(version)
         router.signal(CONTINUE)
         self.await_version(router, self.fleet.version)
 
 
 class BeforeTheRecordsAreBackTest(ReturnTest):
-    """A store has come back older, and the operator has not written again
-    what it lost: the newest configuration, which revokes a key, is known to
-    routers alone."""
+    """The operator has not yet rewritten the records that the store lost.
+
+    Only routers know the newest configuration, which revokes a key.
+    """
 
     def setUp(self):
         super().setUp()
@@ -89,12 +96,12 @@
         self.statuses = []
 
     def revoke(self):
-        """Key-a is not valid any more."""
+        """Revokes key-a and waits until the router applies this."""
         self.fleet.config(customers=CUSTOMERS[1:])
         self.await_version(self.router, self.fleet.version)
 
     def ask(self, router):
-        """What a caller with the revoked key gets."""
+        """Returns the status of a call with key-a, None if it fails."""
         try:
             status = self.fleet.ask(router, "/read/x").status
         except OSError:
@@ -103,9 +110,11 @@
         return status
 
     def test_a_router_that_starts_does_not_go_back(self):
-        """A router that started then read the older configuration from the
-        store, took it for the newest one, and answered 200 to the revoked
-        key."""
+        """A router that started accepted the revoked key with 200.
+
+        It read the older configuration from the restored store and assumed
+        that this was the newest one.
+        """
         copy = self.store.copy()
         self.revoke()
         self.store.come_back_older(copy)
@@ -115,7 +124,7 @@
         self.assertTrue(self.fleet.is_ready(other))
 
     def test_without_peers_a_router_serves_by_what_the_store_has(self):
-        """Nobody can tell it better, and it can not wait for ever."""
+        """No peer has a newer one, and the router cannot wait forever."""
         copy = self.store.copy()
         self.revoke()
         self.store.come_back_older(copy)
@@ -124,20 +133,22 @@
         wait_for(lambda: self.fleet.is_ready(other), "ready", IN_FORCE_S)
 
     def test_engines_are_not_taken_back_to_older_weights(self):
-        """A router that did not know the weights named last ordered the ones
-        before to engines that had loaded the newer ones."""
+        """Engines with the newest weights were ordered to load older ones.
+
+        The order came from a router that did not know the newest version.
+        """
         engine = self.fleet.engine("e1")
-        self.name_weights(2)
+        self.declare_weights(2)
         wait_for(lambda: engine.version == 2, "loaded")
         copy = self.store.copy()
-        self.name_weights(3)
+        self.declare_weights(3)
         wait_for(lambda: engine.version == 3, "loaded")
         self.store.come_back_older(copy)
         engine.list()
         self.router.kill()
         other = self.fleet.router(name="r2")
         wait_for(lambda: self.fleet.is_ready(other), "ready")
-        time.sleep(ORDERED_S)
+        time.sleep(FIRST_ORDER_S)
         self.assertEqual(engine.version, 3)
         self.assertEqual([order["version"] for order in engine.orders],
                          [2, 3])
@@ -156,17 +167,17 @@
         self.router.wait_event("upstream_leaving")
 
     def come_back(self, copy):
-        """Returns once the router has read the list anew."""
+        """Restores the store and waits until the router reads the list."""
         seen = len(self.router.events("store_call"))
         self.come_back_older(copy)
         wait_for(lambda: [call for call in
                           self.router.events("store_call")[seen:]
                           if call["topic"] == "keyed.servers"
                           and call["cause"] == "start"], "listed")
-        time.sleep(LISTED_S)
+        time.sleep(LIST_READ_S)
 
     def is_used(self, router):
-        """Whether p1 gets a call that the other one refuses."""
+        """Returns whether p1 receives a call that p2 refuses."""
         seen = len(self.plain.seen)
         self.other.shed = True
         self.fleet.ask(router, "/read/x")
@@ -174,8 +185,11 @@
         return len(self.plain.seen) > seen
 
     def test_one_that_left_gets_no_work_from_an_older_entry(self):
-        """An upstream had said that it leaves and was off the list; the list
-        that came back had it as ready, and it was sent work again."""
+        """A departed upstream was sent work again.
+
+        It had announced that it leaves and was removed from the list, but the
+        restored list had it as ready.
+        """
         copy = self.store.copy()
         self.leave()
         self.plain.unlist()
@@ -190,7 +204,7 @@
         self.assertFalse(self.is_used(self.router))
 
     def test_a_router_that_starts_hears_that_one_has_left(self):
-        """As above, at a router that never knew it to leave."""
+        """As above, at a router that never saw the upstream leave."""
         copy = self.store.copy()
         self.leave()
         self.plain.unlist()
@@ -209,12 +223,15 @@
         self.come_back_older(copy)
         self.router.wait_event("upstream_missing")
         late.list()
-        time.sleep(LAPSED_S)
+        time.sleep(MISSING_S)
         self.assertEqual(self.router.events("upstream_gone"), [])
 
     def test_one_that_lapsed_and_is_back_serves_again(self):
-        """It had not said that it leaves: what it writes itself after the
-        return counts, what the copy has does not."""
+        """The upstream had not announced that it leaves.
+
+        The entry that it writes itself after the restore counts; its entry in
+        the copy does not.
+        """
         copy = self.store.copy()
         self.plain.unlist()
         self.router.wait_event("upstream_gone")
@@ -235,17 +252,20 @@
         return engines, {"r1": first, "r2": other}
 
     def come_back(self, copy, engines):
-        """Version 2 is written again; it and version 3 have outgrown their
-        former offsets."""
+        """Restores the store, then writes versions 2 and 3.
+
+        Version 2 is written again; the offsets of both are beyond the former
+        ones.
+        """
         self.come_back_older(copy)
         for engine in engines:
             engine.list()
-        self.name_weights(2)
-        self.name_weights(3)
+        self.declare_weights(2)
+        self.declare_weights(3)
         wait_for(lambda: all(e.version == 3 for e in engines), "loaded")
 
-    def take_orders(self, engines):
-        """The number and the holder of each order since the last call."""
+    def drain_orders(self, engines):
+        """Returns fencing number and holder of each order since last call."""
         found = [(order["fence"], order["holder"])
                  for engine in engines for order in engine.orders]
         for engine in engines:
@@ -253,35 +273,37 @@
         return found
 
     def test_no_fencing_number_is_given_twice(self):
-        """Two routers gave orders under fencing number 25, 11.8 s apart, the
-        one before a store came back older and the other after: the number
-        was that of a record in the log, the first record was gone and its
-        offset was given out again. Engines that obey the number took both,
-        and could not have told an order of the first that came late from
-        those of the second."""
+        """Two routers gave orders under the same fencing number.
+
+        Both used number 25, 11.8 s apart, one before the store was restored
+        from an older copy and the other after. The number was the offset of a
+        record in the log; the first record was lost and its offset assigned
+        again. Engines that check the number accepted both, and could not have
+        told a late order of the first router from those of the second.
+        """
         engines, routers = self.start()
         copy = self.store.copy()
-        self.name_weights(2)
+        self.declare_weights(2)
         wait_for(lambda: all(e.version == 2 for e in engines), "loaded")
-        before = self.take_orders(engines)
+        before = self.drain_orders(engines)
         routers[before[0][1]].kill()
         self.come_back(copy, engines)
-        after = self.take_orders(engines)
-        told = "%s before, %s after" % (before, after)
+        after = self.drain_orders(engines)
+        message = "%s before, %s after" % (before, after)
         self.assertLess(max(number for number, _ in before),
-                        min(number for number, _ in after), told)
+                        min(number for number, _ in after), message)
 
     def test_a_paused_holder_that_wakes_gives_no_orders_under_its_number(self):
         engines, routers = self.start()
         copy = self.store.copy()
-        self.name_weights(2)
+        self.declare_weights(2)
         wait_for(lambda: all(e.version == 2 for e in engines), "loaded")
-        before = self.take_orders(engines)
+        before = self.drain_orders(engines)
         paused = before[0][1]
         routers[paused].signal(STOP)
         self.come_back(copy, engines)
         routers[paused].signal(CONTINUE)
-        self.name_weights(4)
+        self.declare_weights(4)
         wait_for(lambda: all(e.version == 4 for e in engines), "loaded")
         for engine in engines:
             numbers = [order["fence"] for order in engine.orders]
