--- a/tests/sessions/test_bad_input.py
+++ b/tests/sessions/test_bad_input.py
@@ -1,5 +1,8 @@
-"""What upstreams, callers and operators send that can't be right: it is
-refused or ended by name, costs a bounded memory and reaches nobody else."""
+"""Invalid input from upstreams, callers and operators.
+
+The router refuses it or ends the attempt with a named reason, uses bounded
+memory for it, and sends it to no one else.
+"""
 import http.client
 import json
 import signal
@@ -12,14 +15,14 @@
 EVENT_MAX = 65536
 BLOCK = b"x" * 65536
 BLOCKS = 1024
-# What one router may grow by, sanitizers and their kept memory included;
-# far below the 64 MiB of one endless event.
+# Limit in bytes on the growth of a router's memory, sanitizers and what they
+# retain included; far below the 64 MiB of one endless event.
 GROWTH_MAX = 16 << 20
 WHOLE = b"".join(b"id: %d\ndata: piece-%d\n\n" % (n, n) for n in range(5))
 
 
-def memory(router):
-    """Most bytes that the process has held so far."""
+def peak_memory(router):
+    """Returns the peak resident memory of the process in bytes."""
     with open("/proc/%d/status" % router.process.pid) as file:
         for line in file:
             if line.startswith("VmHWM:"):
@@ -28,7 +31,7 @@
 
 
 def send_endless_event(call, one_chunk):
-    """An event of 64 MiB, in many pieces of the wire or in one."""
+    """Sends an event of 64 MiB, in one HTTP chunk or in many."""
     head = b"id: 1\ndata: "
     size = len(BLOCK) * BLOCKS
     if one_chunk:
@@ -45,12 +48,11 @@
 
 
 class EndlessUpstream(Upstream):
-    """An engine whose streams go on, behind the first event, with an event
-    that never ends."""
+    """An engine whose streams have a second event that never ends."""
 
     endless = True
     one_chunk = False
-    only_first_of = ()  # engines of which the one asked first is endless
+    only_first_of = ()  # of these, the one asked first is endless
 
     def stream(self, call, headers):
         later = sum(len(e.seen) for e in self.only_first_of) > 1
@@ -72,11 +74,13 @@
 
 
 class FleetEndlessEventTest(unittest.TestCase):
-    """Symptom: the memory of a router grew without a bound.
-    Sequence: an engine began an event of a stream and never ended it.
-    Cause: bytes of an event were kept until its end, however many; evhttp
-    keeps a chunk until it is whole in the same way.
-    Settled by: a bound on one event, which ends the attempt by name."""
+    """The memory of a router grew without a bound.
+
+    An engine began an event of a stream and never ended it. The router
+    buffered an event until its end, whatever its size; evhttp buffers a chunk
+    until it is complete in the same way. The size of an event is now limited;
+    a larger one ends the attempt as "oversized".
+    """
 
     def setUp(self):
         self.fleet = Fleet()
@@ -86,8 +90,8 @@
         return self.fleet.add(EndlessUpstream(self.fleet.store, name,
                                               "engines", "m"))
 
-    def read_cut(self, response):
-        """What came of an answer that broke off."""
+    def read_truncated(self, response):
+        """Returns the bytes received of a truncated answer."""
         with self.assertRaises(http.client.IncompleteRead) as caught:
             response.read()
         return caught.exception.partial
@@ -96,15 +100,16 @@
         for name in ("e1", "e2"):
             self.engine(name).one_chunk = one_chunk
         router = self.fleet.start(event_max="%dB" % EVENT_MAX)
-        before = memory(router)
+        before = peak_memory(router)
         response = self.fleet.request(router, "/ask/x")
-        self.assertEqual(self.read_cut(response), b"id: 0\ndata: piece-0\n\n")
-        self.assertLess(memory(router) - before, GROWTH_MAX)
-        ends = router.wait_event("attempt_failed", 2)
-        self.assertEqual([end["reason"] for end in ends], ["oversized"] * 2)
-        told = router.wait_event("event_oversized", 2)
-        self.assertEqual({line["upstream"] for line in told}, {"e1", "e2"})
-        self.assertEqual(told[0]["event_max"], str(EVENT_MAX))
+        self.assertEqual(self.read_truncated(response),
+                         b"id: 0\ndata: piece-0\n\n")
+        self.assertLess(peak_memory(router) - before, GROWTH_MAX)
+        failures = router.wait_event("attempt_failed", 2)
+        self.assertEqual([f["reason"] for f in failures], ["oversized"] * 2)
+        logged = router.wait_event("event_oversized", 2)
+        self.assertEqual({line["upstream"] for line in logged}, {"e1", "e2"})
+        self.assertEqual(logged[0]["event_max"], str(EVENT_MAX))
 
     def test_an_event_in_many_chunks(self):
         self.check_bounded(False)
@@ -130,8 +135,10 @@
 
 
 class LargeUpstream(Upstream):
-    """A plain service whose answer is large: in one piece of a length, in
-    chunks, in one chunk, or by its head."""
+    """A plain service whose answer has a large body or a large head.
+
+    The body has a Content-Length, or comes in many chunks or in one.
+    """
 
     form = "length"
 
@@ -157,9 +164,12 @@
 
 
 class LargeAnswerTest(unittest.TestCase):
-    """A plain service's answer, or the head of any, was kept whole whatever
-    its size: one of 64 MiB grew its router by as much and more, where all it
-    may hold is 88 MB."""
+    """The memory of a router grew by the size of an answer.
+
+    A plain service's answer, or the head of any answer, was buffered
+    completely, whatever its size: one of 64 MiB grew the router by that and
+    more, while a router may use 88 MB in total.
+    """
 
     def setUp(self):
         self.fleet = Fleet()
@@ -169,13 +179,13 @@
         plain = self.fleet.add(LargeUpstream(self.fleet.store, "p1", "plain"))
         plain.form = form
         router = self.fleet.start(answer_max="64KiB")
-        before = memory(router)
+        before = peak_memory(router)
         answer = self.fleet.ask(router, "/write/x")
         self.assertEqual(answer.status, 502)
         self.assertIn(b'"run":"may_have_run"', answer.body)
-        self.assertLess(memory(router) - before, GROWTH_MAX)
-        ends = router.wait_event("attempt_failed")
-        self.assertEqual([end["reason"] for end in ends], [reason])
+        self.assertLess(peak_memory(router) - before, GROWTH_MAX)
+        failures = router.wait_event("attempt_failed")
+        self.assertEqual([f["reason"] for f in failures], [reason])
         self.assertEqual(len(plain.seen), 1)
 
     def test_a_body_with_a_length(self):
@@ -205,14 +215,14 @@
         for engine in self.others:
             engine.stream = lambda call, headers: EndlessUpstream.send(
                 engine, call, headers, one_chunk)
-        before = memory(self.router)
+        before = peak_memory(self.router)
         self.fleet.store.put("keyed.op", "version/m",
                              {"model": "m", "version": 2})
-        stays = self.router.wait_event("stream_stays")[0]
-        self.assertEqual(stays["reason"], "oversized")
-        told = self.router.wait_event("event_oversized")[0]
-        self.assertEqual(told["upstream"], stays["to"])
-        self.assertLess(memory(self.router) - before, GROWTH_MAX)
+        stay_event = self.router.wait_event("stream_stays")[0]
+        self.assertEqual(stay_event["reason"], "oversized")
+        logged = self.router.wait_event("event_oversized")[0]
+        self.assertEqual(logged["upstream"], stay_event["to"])
+        self.assertLess(peak_memory(self.router) - before, GROWTH_MAX)
         self.first.gate.open()
         self.assert_whole()
 
@@ -258,14 +268,14 @@
         self.cluster.declare_upstream("e1", engine.address, "m")
         router = self.cluster.start(event_max="%dB" % EVENT_MAX,
                                     max_attempts="2")
-        before = memory(router)
+        before = peak_memory(router)
         answer = router.complete({"model": "m", "prompt": "x",
                                   "max_tokens": 2})
         self.assertEqual(answer.status, 502)
         self.assertEqual(answer.error()["code"], "upstream_failed")
-        self.assertLess(memory(router) - before, GROWTH_MAX)
-        ends = router.wait_event("attempt_failed", 2)
-        self.assertEqual([end["reason"] for end in ends], ["oversized"] * 2)
+        self.assertLess(peak_memory(router) - before, GROWTH_MAX)
+        failures = router.wait_event("attempt_failed", 2)
+        self.assertEqual([f["reason"] for f in failures], ["oversized"] * 2)
         self.assertEqual(router.count("events_oversized_total"), 2)
 
     def test_an_event_in_many_chunks(self):
@@ -275,8 +285,8 @@
         self.check_bounded(True)
 
 
-def rewrite(router, **values):
-    """Give keys of a router's settings file other values."""
+def change_settings(router, **values):
+    """Gives keys of a router's settings file other values."""
     with open(router.path) as file:
         lines = file.read().splitlines()
     for key, value in values.items():
@@ -290,19 +300,17 @@
 
 
 class ReloadCase(unittest.TestCase):
-    """What a router that runs takes of a changed file of settings.
+    """SIGHUP left changed settings out of force, and no log line said so.
 
-    Symptom: values that were changed in the file were not in force after
-    SIGHUP, and no line said so.
-    Sequence: the file is changed, SIGHUP; the line says that it was taken.
-    Cause: whole sections were copied, but some parts had kept their values
-    from the start, and other sections were not looked at.
-    Settled by: each key is marked as one that may change or not; parts are
-    told of those that may, the others are named."""
+    The log said that the changed file was taken. Complete sections were
+    copied, but some modules kept the values from their start, and other
+    sections were not compared. Each key is now marked as changeable or not:
+    modules are notified of changeable keys, and the log names the others.
+    """
 
     def reload(self, router, **values):
         before = len(router.events("settings_reloaded"))
-        rewrite(router, **values)
+        change_settings(router, **values)
         router.signal(signal.SIGHUP)
         return router.wait_event("settings_reloaded", before + 1)[-1]
 
@@ -324,9 +332,10 @@
         router = self.start(max_body="4KiB")
         body = b"x" * 3000
         self.assertEqual(self.fleet.ask(router, "/write/x", body).status, 200)
-        told = self.reload(router, hall="hall-b", lease="700ms",
-                           max_body="2KiB")
-        self.assertEqual((told["outcome"], told["waiting"]), ("taken", "2"))
+        logged = self.reload(router, hall="hall-b", lease="700ms",
+                             max_body="2KiB")
+        self.assertEqual((logged["outcome"], logged["waiting"]),
+                         ("taken", "2"))
         self.assertEqual(self.waiting(router),
                          [("router", "hall", "restart"),
                           ("platform", "lease", "restart")])
@@ -334,9 +343,9 @@
 
     def test_a_broken_file_changes_nothing_and_says_where(self):
         router = self.start(max_body="4KiB", retry_allowance="100")
-        told = self.reload(router, max_body="1KiB", hall="hall-b",
-                           retry_allowance="many")
-        self.assertEqual((told["outcome"], told["problems"]),
+        logged = self.reload(router, max_body="1KiB", hall="hall-b",
+                             retry_allowance="many")
+        self.assertEqual((logged["outcome"], logged["problems"]),
                          ("refused", "1"))
         fault = router.wait_event("setting_at_fault")[0]
         self.assertEqual((fault["section"], fault["key"], fault["reason"]),
@@ -403,16 +412,18 @@
             return response.status
 
         self.assertEqual(ask(), 200)
-        told = self.reload(router, max_body="100KiB", log_poll="2s")
-        self.assertEqual((told["outcome"], told["waiting"]), ("taken", "1"))
+        logged = self.reload(router, max_body="100KiB", log_poll="2s")
+        self.assertEqual((logged["outcome"], logged["waiting"]),
+                         ("taken", "1"))
         self.assertEqual(self.waiting(router),
                          [("platform", "log_poll", "restart")])
-        self.assertEqual(ask(), 200)  # it was open, and told at this request
+        # The open connection applies the new limit from its next request on.
+        self.assertEqual(ask(), 200)
         self.assertEqual(ask(), 413)
 
 
 def send_with(port, path, headers):
-    """A request with these headers, in their order, twice where they are."""
+    """Sends a request with these headers, in order and with duplicates."""
     connection = http.client.HTTPConnection("127.0.0.1", port,
                                             timeout=HANG_LIMIT)
     connection.putrequest("POST", path, skip_host=True,
@@ -431,12 +442,14 @@
 
 
 class FleetHeadersTest(unittest.TestCase):
-    """Symptom: a request ran whose key nobody could name for sure.
-    Sequence: a header that says who asks, or under which key, stands twice
-    or holds a control character; the router reads the first, the upstream
-    perhaps the second, and logs and answers repeat the character.
-    Cause: only the first header of a name was looked at, and no character.
-    Settled by: typed refusals before anything is sent."""
+    """A request ran although its key was ambiguous.
+
+    A header with the caller's key or the idempotency key came twice or held a
+    control character. The router read the first one, the upstream perhaps the
+    second, and logs and answers repeated the character. Only the first header
+    of a name was checked, and its characters were not. The router now refuses
+    such requests with a code before it sends anything.
+    """
 
     def setUp(self):
         self.fleet = Fleet()
@@ -482,10 +495,11 @@
 
 
 class SecondAttemptTest(unittest.TestCase):
-    """Symptom: of calls whose first attempt ends with an error of the service,
-    most get an error from another instance as well.
-    Settled here: nothing that the router sends differs but the name of the
-    instance and what is left of the time."""
+    """Most calls that fail at one instance of a service fail at another too.
+
+    The test rules out the router as the cause: its attempts differ only in
+    the name of the instance and in the remaining time.
+    """
 
     def test_it_differs_in_its_instance_and_time_alone(self):
         fleet = Fleet()
@@ -503,11 +517,11 @@
         self.assertEqual(answer.status, 500)
         self.assertEqual([u.bodies for u in upstreams], [[b"the body"]] * 2)
         first, second = [u.seen[0] for u in upstreams]
-        differing = {name for name in first.keys() | second.keys()
-                     if first.get(name) != second.get(name)}
-        self.assertLessEqual({"X-Expect-Instance"}, differing)
-        self.assertLessEqual(differing, {"X-Expect-Instance",
-                                         "X-Deadline-Ms"})
+        differences = {name for name in first.keys() | second.keys()
+                       if first.get(name) != second.get(name)}
+        self.assertLessEqual({"X-Expect-Instance"}, differences)
+        self.assertLessEqual(differences, {"X-Expect-Instance",
+                                           "X-Deadline-Ms"})
         self.assertEqual(first["Idempotency-Key"], "k1")
 
 
