--- a/tests/sessions/test_native_limits.py
+++ b/tests/sessions/test_native_limits.py
@@ -35,7 +35,7 @@
         press_in_turn(1, lambda n: complete(routers[n % 2], n))
         self.assertGreaterEqual(first.state()["asked"] - before, 8)
 
-    def test_what_none_takes_is_refused_at_once(self):
+    def test_requests_beyond_all_limits_are_refused_at_once(self):
         first = self.cluster.engine("e1")
         router = self.cluster.start()
         first.control(limit_milli=1000)
--- a/tests/sessions/test_upstream_limits.py
+++ b/tests/sessions/test_upstream_limits.py
@@ -160,7 +160,7 @@
 
 
 class NoRoomTest(UpstreamLimitsTest):
-    def test_what_none_takes_is_refused_at_once(self):
+    def test_requests_beyond_all_limits_are_refused_at_once(self):
         engines = [self.fleet.engine("e1"), self.fleet.engine("e2")]
         routers = self.start(2)
         engines[1].limit = "2"
