--- a/tests/sessions/test_fleet.py
+++ b/tests/sessions/test_fleet.py
@@ -1,4 +1,5 @@
-"""Requests relayed on the users' platform, with faults of its parts."""
+"""Requests on the fleet platform form, with faults of the store, the
+engines and the routers."""
 import http.client
 import os
 import signal
@@ -25,7 +26,7 @@
         wait_for(lambda: len(router.events("upstream_listed")) >= count,
                  "%d upstreams listed" % count)
 
-    def two_engines(self):
+    def add_two_engines(self):
         return [self.fleet.engine("e1"), self.fleet.engine("e2")]
 
 
@@ -71,7 +72,7 @@
                          (500, "seal-p1"))
         self.assertEqual(len(plain.seen), 1)
 
-    def test_a_success_without_a_signature_is_none(self):
+    def test_a_success_without_a_seal_is_a_failure(self):
         self.fleet.plain("p1").sealed = False
         router = self.fleet.start()
         self.assertEqual(self.fleet.ask(router, "/write/x").status, 502)
@@ -108,7 +109,7 @@
         router = self.fleet.start()
         self.fleet.config(5, customers=[CUSTOMERS[1]])
         wait_for(lambda: self.fleet.ask(router, "/write/x").status == 401,
-                 "revoked")
+                 "the refusal of the revoked key")
         self.fleet.config(4)
         router.wait_event("config_passed_over")
         self.assertEqual(self.fleet.ask(router, "/write/x").status, 401)
@@ -122,7 +123,7 @@
         caller = threading.Thread(target=lambda: answers.append(
             self.fleet.ask(router, "/read/x")))
         caller.start()
-        wait_for(lambda: plain.seen, "it runs")
+        wait_for(lambda: plain.seen, "the call at the service")
         self.fleet.config(customers=[CUSTOMERS[1]])
         caller.join()
         self.assertEqual(answers[0].status, 401)
@@ -137,16 +138,16 @@
         self.assertEqual(self.fleet.ask(router, "/write/x").status, 200)
         self.fleet.store.down = True
         wait_for(lambda: self.fleet.ask(router, "/write/x").status == 503,
-                 "fails closed")
-        ran = len(plain.seen)
+                 "a refusal for the stale configuration")
+        calls_before = len(plain.seen)
         answer = self.fleet.ask(router, "/none/x")
         self.assertEqual(answer.status, 503)
         self.assertIn("Retry-After", answer.headers)
         self.assertFalse(self.fleet.is_ready(router))
-        self.assertEqual(len(plain.seen), ran)
+        self.assertEqual(len(plain.seen), calls_before)
         self.fleet.store.down = False
         wait_for(lambda: self.fleet.ask(router, "/write/x").status == 200,
-                 "serves again")
+                 "an answer after the store returned")
 
 
     def test_what_would_be_late_is_refused_at_once(self):
@@ -155,13 +156,13 @@
         router = self.fleet.start(refuse_late="yes")
         self.wait_listed(router, 2)
         engine.gate = threading.Event()
-        size = {"X_Prompt_Prefix": "a1:100,b1:60000", "X_Model": "m",
-                "X_Token_Usage": "60000,10"}
+        long_prompt = {"X_Prompt_Prefix": "a1:100,b1:60000", "X_Model": "m",
+                       "X_Token_Usage": "60000,10"}
         answers = []
         first = threading.Thread(target=lambda: answers.append(
-            self.fleet.ask(router, "/ask/x", **size)))
+            self.fleet.ask(router, "/ask/x", **long_prompt)))
         first.start()
-        wait_for(lambda: engine.seen, "a long prompt is placed")
+        wait_for(lambda: engine.seen, "the long prompt at the engine")
         answer = self.fleet.ask(router, "/ask/x")
         self.assertEqual(answer.status, 503)
         self.assertGreater(float(answer.headers["Retry-After"]), 0.2)
@@ -181,7 +182,7 @@
 
 class RecoveryTest(FleetTest):
     def test_a_broken_stream_goes_on_behind_its_last_event(self):
-        for engine in self.two_engines():
+        for engine in self.add_two_engines():
             engine.cut_after = 3
         router = self.fleet.start()
         self.wait_listed(router, 2)
@@ -191,7 +192,7 @@
         self.assertEqual([f["next"] for f in failed], ["elsewhere"])
 
     def test_a_stream_that_must_not_run_again_is_cut(self):
-        engines = self.two_engines()
+        engines = self.add_two_engines()
         for engine in engines:
             engine.cut_after = 2
         router = self.fleet.start()
@@ -250,7 +251,7 @@
             raw.sendall(b"POST /ask/x HTTP/1.1\r\nHost: shop.example\r\n"
                         b"X-Request-Id: left\r\nApi-Key: key-a\r\n"
                         b"X-Model: m\r\nContent-Length: 0\r\n\r\n")
-            wait_for(lambda: engine.seen, "running")
+            wait_for(lambda: engine.seen, "the request at the engine")
         done = router.wait_event("request_done")[0]
         self.assertEqual(done["outcome"], "caller_left")
         engine.gate.set()
@@ -264,10 +265,11 @@
         first.state = "draining"
         first.list()
         router.wait_event("upstream_leaving")
-        ran = len(first.seen)
+        calls_before = len(first.seen)
         for _ in range(4):
             self.assertEqual(self.fleet.ask(router, "/write/x").status, 200)
-        self.assertEqual((len(first.seen), len(second.seen)), (ran, 4))
+        self.assertEqual((len(first.seen), len(second.seen)),
+                         (calls_before, 4))
 
     def test_another_upstream_at_the_address_is_not_used(self):
         first, second = self.fleet.plain("p1"), self.fleet.plain("p2")
@@ -297,24 +299,24 @@
         router.wait_event("topic_lost", 2)
         plain.unlist()
         self.fleet.store.down = False
-        gone = router.wait_event("upstream_gone")[0]
-        self.assertEqual(gone["reason"], "not_back_after_outage")
+        departed = router.wait_event("upstream_gone")[0]
+        self.assertEqual(departed["reason"], "not_back_after_outage")
         self.assertEqual(self.fleet.ask(router, "/write/x").status, 503)
 
 
 class CacheTest(FleetTest):
     STORE = "127.0.0.1:9"
 
-    def ask(self, router, parts):
-        self.fleet.ask(router, "/ask/x", X_Prompt_Prefix=parts)
+    def ask_with_prefix(self, router, prefix):
+        self.fleet.ask(router, "/ask/x", X_Prompt_Prefix=prefix)
 
     def test_a_new_prefix_takes_what_it_begins_with_from_the_store(self):
-        engines = self.two_engines()
+        engines = self.add_two_engines()
         self.fleet.config(stores=[("kept", self.STORE)])
         router = self.fleet.start()
         self.wait_listed(router, 2)
-        self.ask(router, "a1:2000,b1:2000,c1:10")
-        self.ask(router, "a1:2000,b2:2000,c2:10")
+        self.ask_with_prefix(router, "a1:2000,b1:2000,c1:10")
+        self.ask_with_prefix(router, "a1:2000,b2:2000,c2:10")
         seen = [s for e in engines for s in e.seen]
         self.assertEqual([s.get("X-Kv-Fetch") for s in seen],
                          [self.STORE] * 2)
@@ -325,151 +327,148 @@
         engine = self.fleet.engine("e1")
         self.fleet.config(stores=[("kept", self.STORE)])
         router = self.fleet.start()
-        self.ask(router, "a1:200,b1:200,c1:10")
+        self.ask_with_prefix(router, "a1:200,b1:200,c1:10")
         self.assertNotIn("X-Kv-Fetch", engine.seen[0])
         self.assertNotIn("X-Kv-Save", engine.seen[0])
 
 
 class WeightsTest(FleetTest):
     def test_named_weights_reach_all_engines_and_change_the_salt(self):
-        engines = self.two_engines()
+        engines = self.add_two_engines()
         router = self.fleet.start()
         self.wait_listed(router, 2)
         self.fleet.ask(router, "/ask/x")
         before = [s["X-Cache-Salt"] for e in engines for s in e.seen][0]
         self.fleet.store.put("keyed.op", "version/m",
                              {"model": "m", "version": 3})
-        wait_for(lambda: all(e.version == 3 for e in engines), "loaded")
+        wait_for(lambda: all(e.version == 3 for e in engines), "the load")
 
-        def on_new_weights():
+        def find_new_calls():
             self.fleet.ask(router, "/ask/x")
             return [s for e in engines for s in e.seen
                     if s["X-Expect-Version"] == "3"]
-        seen = wait_for(on_new_weights, "an answer on the new weights")
+        seen = wait_for(find_new_calls, "an answer on the new weights")
         self.assertNotEqual(seen[0]["X-Cache-Salt"], before)
         orders = [o for e in engines for o in e.orders]
         self.assertEqual({o["mode"] for o in orders}, {"defer"})
         self.assertEqual(len({o["holder"] for o in orders}), 1)
 
     def test_two_routers_give_orders_under_one_lease(self):
-        engines = self.two_engines()
+        engines = self.add_two_engines()
         self.fleet.start()
         self.fleet.router("r2")
         self.fleet.store.put("keyed.op", "version/m",
                              {"model": "m", "version": 2})
-        wait_for(lambda: all(e.version == 2 for e in engines), "loaded")
+        wait_for(lambda: all(e.version == 2 for e in engines), "the load")
         fences = {}
         for engine in engines:
             for order in engine.orders:
                 fences.setdefault(order["fence"], set()).add(order["holder"])
         self.assertTrue(all(len(h) == 1 for h in fences.values()), fences)
 
-    def name_weights(self, version):
+    def declare_weights(self, version):
         self.fleet.store.put("keyed.op", "version/m",
                              {"model": "m", "version": version})
 
-    # Symptom: an engine got no more orders from the holder of the lease.
-    # Sequence: it takes an order and forgets it and the count of its orders.
-    # Cause: each state with a lower count was passed over as older than the
-    # order, however long ago that was.
-    # Settled by: a state is passed over only while a load may be under way.
+    # An engine got no more orders from the lease holder: it accepted an order
+    # and then lost both the order and its order count. The holder ignored
+    # every state with a lower count as older than the order, for ever. It may
+    # ignore such a state only while a load may still be in progress.
     def test_engine_that_forgets_an_order_gets_it_again(self):
         engine = self.fleet.engine("e1")
         engine.forgets = True
         router = self.fleet.start()
         self.wait_listed(router, 1)
-        self.name_weights(2)
-        wait_for(lambda: engine.version == 2, "loaded")
-
-    # Symptom: a roll-out stopped; some engines never got their orders.
-    # Sequence: the engines that are to load first are told to pause, and an
-    # order of an earlier holder is carried out there meanwhile.
-    # Cause: an engine held its place of those that load from when its pause
-    # was told until its order was sent, and this one needed none any more.
-    # Settled by: an engine that has what is wanted holds no place.
-    def test_late_orders_leave_the_places_to_others(self):
+        self.declare_weights(2)
+        wait_for(lambda: engine.version == 2, "the load")
+
+    # A roll-out stalled and some engines never got their orders. Each of the
+    # first engines to load held a load slot from its pause until its order
+    # was sent. An order of an earlier holder loaded the weights meanwhile, so
+    # no order was due and the slot was never released. An engine that already
+    # has the declared weights must hold no slot.
+    def test_late_orders_release_their_load_slots(self):
         engines = [self.fleet.engine("e%d" % n) for n in range(3)]
         for engine in engines:
-            engine.queued = 1   # so that each pause lasts a while
+            engine.queued = 1   # prolongs the pause before the load
             engine.late_order = {"version": 2}
-            engine.late_report = 4  # the first one is before its pause
+            engine.late_report = 4  # the first report precedes the pause
         router = self.fleet.start()
         self.wait_listed(router, 3)
-        self.name_weights(2)
-        wait_for(lambda: all(e.version == 2 for e in engines), "loaded")
-
-    # Symptom: a roll-out stopped while two engines said nothing.
-    # Sequence: the engines that are to load first are told to pause, and fall
-    # silent before their orders are sent.
-    # Cause: no order is sent where the state can't be read, and the place was
-    # held until one was.
-    # Settled by: a place is held no longer than the pause that was told.
-    def test_silent_engines_leave_the_places_to_others(self):
+        self.declare_weights(2)
+        wait_for(lambda: all(e.version == 2 for e in engines), "the load")
+
+    # A roll-out stalled while two engines were silent. They held load slots
+    # from their pause and fell silent before their orders were sent. No order
+    # is sent to an engine whose state cannot be read, and the slot was held
+    # until an order was sent. A slot must expire with the pause.
+    def test_silent_engines_release_their_load_slots(self):
         engines = [self.fleet.engine("e%d" % n) for n in range(3)]
         for engine in engines:
-            engine.queued = 1   # so that each pause lasts a while
+            engine.queued = 1   # prolongs the pause before the load
         router = self.fleet.start()
         self.wait_listed(router, 3)
-        self.name_weights(2)
+        self.declare_weights(2)
 
         def find_paused():
             paused = [e for e in engines if e.reports >= 2]
             return paused if len(paused) == 2 else None
-        paused = wait_for(find_paused, "two pauses")
-        spoken = threading.Event()
-        self.addCleanup(spoken.set)
+        paused = wait_for(find_paused, "two paused engines")
+        may_answer = threading.Event()
+        self.addCleanup(may_answer.set)
         for engine in paused:
-            engine.probed = spoken
+            engine.probed = may_answer
         other = next(e for e in engines if e not in paused)
-        wait_for(lambda: other.version == 2, "loaded")
+        wait_for(lambda: other.version == 2, "the load")
         self.assertEqual([e.orders for e in paused], [[], []])
-        spoken.set()
-        wait_for(lambda: all(e.version == 2 for e in engines), "all loaded")
+        may_answer.set()
+        wait_for(lambda: all(e.version == 2 for e in engines),
+                 "the load by all engines")
 
 
 class OutageTest(FleetTest):
-    """Routers that lose the store one after the other."""
+    """The routers lose the store one after the other."""
 
     ROUTERS = 5
 
     def setUp(self):
         super().setUp()
-        self.engines = self.two_engines()
+        self.engines = self.add_two_engines()
         self.fleet.config()
-        self.paths = {}
+        self.proxies = {}
         seeds = {}
         for i in range(self.ROUTERS):
             name = "r%d" % i
-            self.paths[name] = FaultProxy(int(
+            self.proxies[name] = FaultProxy(int(
                 self.fleet.store.address.rpartition(":")[2]))
-            self.addCleanup(self.paths[name].kill)
+            self.addCleanup(self.proxies[name].kill)
             router = self.fleet.router(
-                name, peers=seeds, store_address=self.paths[name].address)
+                name, peers=seeds, store_address=self.proxies[name].address)
             self.wait_listed(router, 2)
             seeds = {"seeds": self.fleet.routers[0].peer_address}
 
-    def name_weights(self, version):
-        """The router that gives the orders for them."""
+    def declare_weights(self, version):
+        """Waits for the load and returns the router that ordered it."""
         self.fleet.store.put("keyed.op", "version/m",
                              {"model": "m", "version": version})
         wait_for(lambda: all(e.version == version for e in self.engines),
-                 "version %d loaded" % version)
+                 "the load of version %d" % version)
         return self.engines[0].orders[-1]["holder"]
 
     def test_orders_go_on_while_routers_lose_the_store(self):
         holders = []
         for version in range(2, 2 + self.ROUTERS - 1):
-            holder = self.name_weights(version)
+            holder = self.declare_weights(version)
             self.assertNotIn(holder, holders)
             holders.append(holder)
-            self.paths[holder].refuse = True
-            self.paths[holder].black_hole = True
-            self.paths[holder].cut_all()
-        self.name_weights(2 + self.ROUTERS - 1)
+            self.proxies[holder].refuse = True
+            self.proxies[holder].black_hole = True
+            self.proxies[holder].cut_all()
+        self.declare_weights(2 + self.ROUTERS - 1)
 
 
 class Gate:
-    """Lets through as many pieces of an engine's streams as it is told."""
+    """Blocks an engine's streams; open() lets `pieces` events pass."""
 
     def __init__(self):
         self.steps = threading.Semaphore(0)
@@ -484,7 +483,7 @@
 
 
 class StreamTest(FleetTest):
-    """A stream of which one event has passed, at one of some engines."""
+    """A stream at one of ENGINES engines; its caller has had one event."""
 
     ENGINES = 4
 
@@ -493,7 +492,7 @@
                         for i in range(self.ENGINES)]
         for engine in self.engines:
             engine.gate = Gate()
-            engine.queued = 1   # so that its order waits for a while
+            engine.queued = 1   # delays the order to load weights
         self.router = self.fleet.start(**settings)
         self.wait_listed(self.router, self.ENGINES)
         self.answers = []
@@ -502,14 +501,14 @@
         self.reader.start()
         self.first = wait_for(
             lambda: [e for e in self.engines if e.gate.reached.is_set()],
-            "an engine runs it")[0]
+            "the stream at an engine")[0]
         self.first.gate.open(1)
         self.others = [e for e in self.engines if e is not self.first]
 
     def revoke_key(self):
         self.fleet.config(customers=[CUSTOMERS[1]])
         wait_for(lambda: self.fleet.ask(self.router, "/read/x").status == 401,
-                 "the key is revoked")
+                 "the refusal of the revoked key")
 
     def assert_whole(self):
         self.reader.join()
@@ -517,17 +516,17 @@
 
 
 class MoveTest(StreamTest):
-    """Its engine is to load other weights."""
+    """The engine of the stream is to load other weights."""
 
-    def name_weights(self):
+    def declare_weights(self):
         self.fleet.store.put("keyed.op", "version/m",
                              {"model": "m", "version": 2})
 
     def test_a_stream_that_may_go_on_elsewhere_leaves_a_loading_engine(self):
         self.start_stream("/ask/x")
-        self.name_weights()
+        self.declare_weights()
         second = wait_for(lambda: [e for e in self.others if e.seen],
-                          "another engine is asked")[0]
+                          "a request at another engine")[0]
         self.assertEqual(second.seen[0]["Last-Event-Id"], "0")
         second.gate.open()
         self.router.wait_event("stream_moved")
@@ -538,7 +537,7 @@
         self.start_stream("/ask/x")
         for engine in self.others:
             engine.shed = True
-        self.name_weights()
+        self.declare_weights()
         stays = self.router.wait_event("stream_stays")[0]
         self.assertEqual(stays["reason"], "not_run")
         self.first.gate.open()
@@ -547,7 +546,7 @@
 
     def test_a_stream_stays_where_the_next_engine_says_nothing(self):
         self.start_stream("/ask/x", move_wait="50ms")
-        self.name_weights()
+        self.declare_weights()
         stays = self.router.wait_event("stream_stays")[0]
         self.assertEqual(stays["reason"], "silent")
         self.first.gate.open()
@@ -555,9 +554,9 @@
 
     def test_a_stream_goes_on_where_it_was_to_move_when_its_engine_dies(self):
         self.start_stream("/ask/x")
-        self.name_weights()
+        self.declare_weights()
         second = wait_for(lambda: [e for e in self.others if e.seen],
-                          "another engine is asked")[0]
+                          "a request at another engine")[0]
         self.first.cut_after = 1
         self.first.gate.open()
         moved = self.router.wait_event("stream_moved")[0]
@@ -568,49 +567,43 @@
         self.assertEqual(len(self.router.events("attempt_failed")), 0)
 
     def test_a_stream_whose_key_is_revoked_stays(self):
-        """Symptom: soon after a key was revoked, streams that had begun under
-        it ended in the middle.
-        Sequence: the key is revoked; the engine is to load weights, so its
-        streams are moved; the attempt under way is given up; the next one is
-        not sent, as the key is no longer in force.
-        Cause: whether the next attempt may be sent was asked only after the
-        first one was given up.
-        Settled by: for each of them a request_refused with run=ran and
-        reason=config_stale, in the millisecond of its move, and none without
-        a move.
+        """Streams were cut soon after their key was revoked.
+
+        The engine was to load weights, so the router moved the stream: it
+        ended the current attempt and only then checked whether it may send
+        the next one, which the revoked key forbids. Each cut stream logged
+        request_refused with run=ran and reason=config_stale in the
+        millisecond of its move; no stream without a move did.
         """
         self.start_stream("/ask/x")
         self.revoke_key()
-        self.name_weights()
+        self.declare_weights()
         stays = self.router.wait_event("stream_stays")[0]
         self.assertEqual(stays["reason"], "key_revoked")
-        wait_for(lambda: all(e.version == 2 for e in self.engines), "loaded")
+        wait_for(lambda: all(e.version == 2 for e in self.engines), "the load")
         self.first.gate.open()
         self.assert_whole()
         self.assertEqual(sum(len(e.seen) for e in self.engines), 1)
 
     def test_a_stream_that_must_not_run_again_stays(self):
         self.start_stream("/ask/once/x")
-        self.name_weights()
-        wait_for(lambda: all(e.version == 2 for e in self.engines), "loaded")
+        self.declare_weights()
+        wait_for(lambda: all(e.version == 2 for e in self.engines), "the load")
         self.first.gate.open()
         self.assert_whole()
         self.assertEqual(sum(len(e.seen) for e in self.engines), 1)
 
 
 class SilentStreamTest(StreamTest):
-    """Its engine says nothing for a while, and its state is not told either.
-
-    Symptom: such streams ended in the middle although their engine went on a
-    second later.
-    Sequence: the engine pauses for longer than token_timeout; a probe of it
-    stays unanswered; the attempt is given up; nothing can follow it, as the
-    key was revoked meanwhile or as there is no other engine.
-    Cause: an attempt was given up for attempts, retry allowance and time that
-    were left, but whether the request may be sent again, and where to, was
-    asked only afterwards.
-    Settled by: attempt_failed with reason=silent and next=elsewhere, and in
-    the same millisecond request_refused with reason=config_stale or
+    """The engine of the stream and its probes are silent for a while.
+
+    Such streams were cut although the engine continued a second later. The
+    engine paused for longer than token_timeout and a probe got no answer. The
+    router ended the attempt because attempts, retry allowance and time were
+    left, and only then checked whether and where it may send the request
+    again. It could not: the key had been revoked, or there was no other
+    engine. Logged: attempt_failed with reason=silent and next=elsewhere, and
+    in the same millisecond request_refused with reason=config_stale or
     no_upstream.
     """
 
@@ -623,11 +616,11 @@
         self.first.gate.open()
 
     def wait_looked_at(self):
-        """Given up, or kept although it is silent, with or without a try
-        beside it."""
+        """Waits until the router ends, keeps or hedges the silent attempt."""
         wait_for(lambda: self.router.events("attempt_kept") or
                  self.router.events("stream_stays") or
-                 self.router.events("attempt_failed"), "silence is noticed")
+                 self.router.events("attempt_failed"),
+                 "the router's reaction to the silence")
 
 
 class SilenceTest(SilentStreamTest):
@@ -646,7 +639,7 @@
         self.start_stream("/ask/x", token_timeout="100ms")
         self.fall_silent()
         second = wait_for(lambda: [e for e in self.others if e.seen],
-                          "another engine is asked")[0]
+                          "a request at another engine")[0]
         self.assertEqual(second.seen[0]["Last-Event-Id"], "0")
         second.gate.open()
         self.assert_whole()
@@ -656,7 +649,8 @@
                           config_max_age="700ms")
         self.fleet.store.down = True
         wait_for(lambda: self.fleet.ask(self.router, "/read/x").status == 503
-                 and not self.fleet.is_ready(self.router), "it is stale")
+                 and not self.fleet.is_ready(self.router),
+                 "a stale configuration")
         self.fall_silent()
         self.wait_looked_at()
         self.speak_again()
@@ -665,11 +659,11 @@
         self.assertEqual([k["reason"] for k in kept], ["config_stale"])
 
     def test_a_stream_stays_with_an_engine_that_speaks_again(self):
-        """Both engines would work on it for as long as the second takes."""
+        """Without an end of the hedge, both engines would run the stream."""
         self.start_stream("/ask/x", token_timeout="100ms")
         self.fall_silent()
         wait_for(lambda: [e for e in self.others if e.seen],
-                 "another engine is asked")
+                 "a request at another engine")
         self.speak_again()
         stays = self.router.wait_event("stream_stays")[0]
         self.assertEqual(stays["reason"], "heard")
@@ -678,7 +672,7 @@
 
 
 class OnlyEngineTest(SilentStreamTest):
-    """There is no other engine."""
+    """The only engine of the model falls silent."""
 
     ENGINES = 1
 
@@ -694,19 +688,20 @@
 
 
 class DispatchTest(FleetTest):
-    """Two routers that take themselves for too many to share all loads."""
+    """Two routers, configured as too many to share the load of each engine."""
 
-    ENGINES = 16  # the fewest that are divided into groups
+    ENGINES = 16  # minimum that is divided into groups
 
     def setUp(self):
         super().setUp()
         self.engines = [self.fleet.engine("e%d" % i)
                         for i in range(self.ENGINES)]
-        self.one = self.fleet.start(peers={"mesh_routers": "1"})
-        self.two = self.fleet.router("r2", peers={
-            "mesh_routers": "1", "seeds": self.one.peer_address})
-        wait_for(lambda: self.fleet.is_ready(self.two), "ready")
-        for router in (self.one, self.two):
+        self.router_1 = self.fleet.start(peers={"mesh_routers": "1"})
+        self.router_2 = self.fleet.router("r2", peers={
+            "mesh_routers": "1", "seeds": self.router_1.peer_address})
+        wait_for(lambda: self.fleet.is_ready(self.router_2),
+                 "readiness of the second router")
+        for router in (self.router_1, self.router_2):
             self.wait_listed(router, self.ENGINES)
             router.wait_event("member_joined")
 
@@ -716,33 +711,37 @@
                 router, "/ask/x", X_Prompt_Prefix="%x:2000,%x:10" % (i, i))
             self.assertEqual(answer.body, EVENTS)
 
-    def reasons(self, router):
+    def placement_reasons(self, router):
         return {p["reason"] for p in router.events("request_placed")}
 
     def test_each_router_places_for_its_groups(self):
-        wait_for(lambda: self.ask_all(self.one) or
-                 "dispatched" in self.reasons(self.one), "dispatched")
-        wait_for(lambda: self.ask_all(self.two) or
-                 "home" in self.reasons(self.two), "placed by itself")
+        wait_for(lambda: self.ask_all(self.router_1) or
+                 "dispatched" in self.placement_reasons(self.router_1),
+                 "a dispatched request")
+        wait_for(lambda: self.ask_all(self.router_2) or
+                 "home" in self.placement_reasons(self.router_2),
+                 "a local placement")
 
     def test_without_its_dispatcher_a_router_places_by_itself(self):
-        wait_for(lambda: self.ask_all(self.one) or
-                 "dispatched" in self.reasons(self.one), "dispatched")
-        self.two.kill()
-        self.ask_all(self.one)
+        wait_for(lambda: self.ask_all(self.router_1) or
+                 "dispatched" in self.placement_reasons(self.router_1),
+                 "a dispatched request")
+        self.router_2.kill()
+        self.ask_all(self.router_1)
 
     def test_a_dispatcher_that_stands_still_holds_up_nothing(self):
-        wait_for(lambda: self.ask_all(self.one) or
-                 "dispatched" in self.reasons(self.one), "dispatched")
-        self.two.signal(signal.SIGSTOP)
-        self.ask_all(self.one)
-        self.two.signal(signal.SIGCONT)
-        self.ask_all(self.two)
+        wait_for(lambda: self.ask_all(self.router_1) or
+                 "dispatched" in self.placement_reasons(self.router_1),
+                 "a dispatched request")
+        self.router_2.signal(signal.SIGSTOP)
+        self.ask_all(self.router_1)
+        self.router_2.signal(signal.SIGCONT)
+        self.ask_all(self.router_2)
 
 
 class LogTest(FleetTest):
-    def start_unread(self, **settings):
-        """A router of whose output only the start is read."""
+    def start_with_unread_log(self, **settings):
+        """Starts a router whose output is read only up to its start."""
         router = self.fleet.start(**settings)
         path, port = router.path, router.port
         router.kill()
@@ -761,8 +760,9 @@
 
     def test_a_log_that_nobody_reads_stops_nothing(self):
         self.fleet.engine("e1")
-        router, unread = self.start_unread(log_budget="0B")
-        wait_for(lambda: self.status(router) == 200, "serving again")
+        router, unread = self.start_with_unread_log(log_budget="0B")
+        wait_for(lambda: self.status(router) == 200,
+                 "an answer of the restarted router")
         for _ in range(400):
             self.assertEqual(self.fleet.ask(router, "/ask/x").body, EVENTS)
         os.set_blocking(unread.stdout.fileno(), False)
@@ -774,7 +774,7 @@
         except OSError:
             return 0
 
-    def set_level(self, router, level):
+    def set_log_level(self, router, level):
         with open(router.path) as file:
             lines = [line for line in file if not line.startswith("log_lev")]
         text = "".join(lines).replace("[limits]\n",
@@ -789,15 +789,16 @@
         self.fleet.ask(router, "/ask/x")
         router.wait_event("request_done")
         self.assertEqual(router.events("request_placed"), [])
-        self.set_level(router, 7)
+        self.set_log_level(router, 7)
         wait_for(lambda: self.fleet.ask(router, "/ask/x") and
                  router.events("request_placed"), "debug lines")
-        self.set_level(router, 4)
-        wait_for(lambda: not self.has_news_of_a_request(router), "silence")
-        self.assertFalse(any(self.has_news_of_a_request(router)
+        self.set_log_level(router, 4)
+        wait_for(lambda: not self.logs_next_request(router),
+                 "an end of request_done lines")
+        self.assertFalse(any(self.logs_next_request(router)
                              for _ in range(5)))
 
-    def has_news_of_a_request(self, router):
+    def logs_next_request(self, router):
         before = len(router.events("request_done"))
         self.fleet.ask(router, "/ask/x")
         return len(router.events("request_done")) > before
@@ -822,27 +823,28 @@
 
 
 class StartTest(FleetTest):
-    """Symptom: calls that came to routers just started, as all were at once
-    after a loss of power, were refused with 503 "not_configured", and their
-    callers had used up a try. Sequence: routers start, callers that lost
-    their connections come within the same tenths of a second, the store
-    answers the routers' lists. Cause: callers' connections were taken before
-    anything was known that they could be answered by. Settled by leaving
-    them untaken until then, for a bounded time."""
+    """Routers that had just started refused calls with 503 "not_configured".
+
+    After a power loss all routers start at once, and callers that lost their
+    connections reconnect within the same tenths of a second, before the store
+    has answered the routers' lists. Each refusal cost the caller an attempt.
+    Routers accepted connections before they had a configuration; now they
+    leave them unaccepted until then, for a bounded time.
+    """
 
     ROUTERS = 6
-    LIST_S = 0.1
-    CALLS_AT_MOST = 12  # as many as the routers make as they start
-    REFUSED = 5  # of their first calls
+    LIST_DELAY_S = 0.1
+    STORE_CALLS_MAX = 12  # all routers' calls at their start
+    STORE_REFUSALS = 5  # of the store's first calls
 
-    def call_at_once(self, routers):
-        """One call to each router, all at once; their statuses."""
+    def call_concurrently(self, routers):
+        """Calls all routers concurrently and returns the statuses."""
         answers = [None] * len(routers)
 
-        def call(place):
-            answers[place] = self.fleet.ask(routers[place], "/write/x").status
-        threads = [threading.Thread(target=call, args=(place,))
-                   for place in range(len(routers))]
+        def call(index):
+            answers[index] = self.fleet.ask(routers[index], "/write/x").status
+        threads = [threading.Thread(target=call, args=(index,))
+                   for index in range(len(routers))]
         for thread in threads:
             thread.start()
         for thread in threads:
@@ -850,43 +852,43 @@
         return answers
 
     @staticmethod
-    def lines_of_start(router):
-        """What a router did until its first answer, for a failure's text."""
+    def log_tail(router):
+        """Returns the last 40 log lines, for the message of a failure."""
         return "\n" + "\n".join(router.lines[-40:])
 
     def test_a_call_just_after_the_start_is_served(self):
         plain = self.fleet.plain("p1")
         self.fleet.config()
-        self.fleet.store.list_s = self.LIST_S
+        self.fleet.store.list_s = self.LIST_DELAY_S
         router = self.fleet.router()
-        statuses = self.call_at_once([router])
-        self.assertEqual(statuses, [200], self.lines_of_start(router))
+        statuses = self.call_concurrently([router])
+        self.assertEqual(statuses, [200], self.log_tail(router))
         self.assertEqual(len(plain.seen), 1)
 
     def test_all_routers_that_start_at_once_serve_their_first_calls(self):
-        """The store refuses some of the first lists, which are tried again
-        within the time."""
+        """The store refuses some of the first lists; routers retry in time."""
         self.fleet.plain("p1")
         self.fleet.config()
-        self.fleet.store.list_s = self.LIST_S
-        self.fleet.store.calls_at_most = self.CALLS_AT_MOST
-        self.fleet.store.refuse_first = self.REFUSED
+        self.fleet.store.list_s = self.LIST_DELAY_S
+        self.fleet.store.calls_at_most = self.STORE_CALLS_MAX
+        self.fleet.store.refuse_first = self.STORE_REFUSALS
         routers = [self.fleet.launch("r%d" % i, config_wait="1s",
                                      config_max_age="10s")
                    for i in range(self.ROUTERS)]
         for router in routers:
             self.fleet.await_start(router)
-        self.assertEqual(self.call_at_once(routers), [200] * self.ROUTERS)
-        self.assertGreaterEqual(self.fleet.store.turned_away, self.REFUSED)
+        self.assertEqual(self.call_concurrently(routers), [200] * self.ROUTERS)
+        self.assertGreaterEqual(self.fleet.store.turned_away,
+                                self.STORE_REFUSALS)
 
     def test_a_call_is_refused_where_the_store_stays_silent(self):
         self.fleet.plain("p1")
         self.fleet.config()
         self.fleet.store.list_s = 5
         router = self.fleet.router()
-        begun = time.monotonic()
-        self.assertEqual(self.call_at_once([router]), [503])
-        self.assertLess(time.monotonic() - begun, 2)
+        started = time.monotonic()
+        self.assertEqual(self.call_concurrently([router]), [503])
+        self.assertLess(time.monotonic() - started, 2)
 
 
 class StopTest(FleetTest):
@@ -898,7 +900,7 @@
         thread = threading.Thread(target=lambda: response.append(
             self.fleet.ask(router, "/ask/x")))
         thread.start()
-        wait_for(lambda: engine.seen, "running")
+        wait_for(lambda: engine.seen, "the request at the engine")
         router.signal(signal.SIGTERM)
         router.wait_event("router_stopping")
         self.assertFalse(self.fleet.is_ready(router))
@@ -909,12 +911,11 @@
         self.assertEqual(router.process.wait(60), 0)
 
     def test_a_second_stop_signal_changes_nothing(self):
-        """Symptom: a router that was told to stop twice ended by the signal
-        in place of 0.
-        Sequence: the second signal comes as the router frees its parts.
-        Cause: its handlers were freed first, and the signal met the default
-        action.
-        Settled by: exit -15 after router_stopped.
+        """A router that got two stop signals exited with -15 instead of 0.
+
+        The second signal arrived while the router freed its modules. The
+        signal handlers were freed first, so the signal's default action ended
+        the process after router_stopped.
         """
         router = self.fleet.start()
         while router.process.poll() is None:
@@ -925,21 +926,23 @@
         self.fleet.plain("p1")
         router = self.fleet.start()
         router.signal(signal.SIGHUP)
-        told = router.wait_event("settings_reloaded")[0]
-        self.assertEqual(told["outcome"], "taken")
+        reloaded = router.wait_event("settings_reloaded")[0]
+        self.assertEqual(reloaded["outcome"], "taken")
         with open(router.path, "a") as file:
             file.write("[limits]\nmax_body = nonsense\n")
         router.signal(signal.SIGHUP)
-        told = router.wait_event("settings_reloaded", 2)[1]
-        self.assertEqual(told["outcome"], "refused")
+        reloaded = router.wait_event("settings_reloaded", 2)[1]
+        self.assertEqual(reloaded["outcome"], "refused")
         self.assertEqual(self.fleet.ask(router, "/write/x").status, 200)
 
 
 class OperatorTest(FleetTest):
-    """Symptom: a router died by a null pointer. Sequence: an operator with
-    the key asked for its status, or sent a command. Cause: the log of
-    declarations, which a router of this platform does not have, was asked
-    whether it is reached. Settled by: what needs it says that it is not."""
+    """A router crashed on a null pointer at an operator's status query.
+
+    A command with the operator key crashed it, too. Routers of this platform
+    form have no log of declarations, but were asked whether they reach it.
+    Functions that need the log now answer that it is not reached.
+    """
 
     def call(self, router, method, body=b""):
         connection = http.client.HTTPConnection(
