--- a/tests/sessions/test_fleet.py
+++ b/tests/sessions/test_fleet.py
@@ -834,8 +834,8 @@
 
     ROUTERS = 6
     LIST_DELAY_S = 0.1
-    STORE_CALLS_MAX = 12  # all routers' calls at their start
-    STORE_REFUSALS = 5  # of the store's first calls
+    STORE_CALLS_MAX = 12  # per rate window; the routers' calls at start
+    STORE_REFUSALS = 5  # number of first calls that get 429
 
     def call_concurrently(self, routers):
         """Calls all routers concurrently and returns the statuses."""
--- a/tests/sessions/test_fleet_losses.py
+++ b/tests/sessions/test_fleet_losses.py
@@ -1,5 +1,5 @@
-"""Relayed requests while an engine, a router or all routers are lost, or while
-the weights that a request waits for are replaced."""
+"""Relayed requests during the loss of an engine, a router or all routers, and
+during the replacement of the weights that a request waits for."""
 import http.client
 import json
 import select
@@ -16,11 +16,11 @@
 from fleet import CUSTOMERS, Fleet, MortalEngine
 
 EVENTS = b"".join(b"id: %d\ndata: piece-%d\n\n" % (i, i) for i in range(5))
-# Statuses that promise that a request has not run and never will.
+# Statuses that guarantee that the request has not run and will not run.
 NOT_RUN = (408, 421, 429, 503)
-# Statuses that a caller must not get from a router that only knows too little.
+# Statuses that a router must not send before it knows the configuration.
 DENIED = (401, 403, 404)
-# What http.client raises where an answer is cut off or never begins.
+# Exceptions of http.client for an answer that is cut or never begins.
 CUT = (http.client.HTTPException, OSError)
 
 
@@ -35,7 +35,7 @@
             "listed: %s" % names)
 
     def in_thread(self, function):
-        """Run it beside the test; what it returns is the list's only item."""
+        """Runs function in a thread; the returned list gets its result."""
         results = []
         thread = threading.Thread(target=lambda: results.append(function()))
         thread.start()
@@ -44,15 +44,15 @@
 
 
 class CachingEngine(MortalEngine):
-    """Keeps the parts of prompts under their salt, and takes what it lacks
-    from the engine that a request names."""
+    """Caches prompt parts by salt and fetches missing ones from the engine
+    that X-Kv-Fetch names."""
 
     def __init__(self, store, name, **more):
-        self.kept = {}        # salt and parts so far -> customer and version
-        self.wrong = []       # parts drawn on that were not its to use
-        self.given_to = []    # engines that have taken parts from here
-        self.taken = 0        # parts that came from another engine
-        self.hits = 0         # parts that were here already
+        self.kept = {}        # (salt, prefix) -> (customer, version)
+        self.wrong = []       # parts used across customers or versions
+        self.given_to = []    # engines that fetched parts from this one
+        self.taken = 0        # parts fetched from another engine
+        self.hits = 0         # parts found in the local cache
         self.before_fetch = None  # called once, before the next fetch
         super().__init__(store, name, **more)
 
@@ -67,7 +67,7 @@
         super().handle(call)
 
     def fetch(self, address):
-        """What the engine at an address keeps; nothing where it is dead."""
+        """Returns the cache of the engine at address; empty if it is dead."""
         host, _, port = address.partition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=60)
         try:
@@ -88,28 +88,29 @@
         if source and self.before_fetch:
             hook, self.before_fetch = self.before_fetch, None
             hook()
-        there = self.fetch(source) if source else {}
-        mine = (headers["X-Tenant"], self.version)
+        fetched = self.fetch(source) if source else {}
+        requester = (headers["X-Tenant"], self.version)
         parts = headers["X-Prompt-Prefix"].split(",")
         for count in range(1, len(parts) + 1):
             key = (headers["X-Cache-Salt"], ",".join(parts[:count]))
-            self.draw(key, there.get(key), mine)
+            self.use_part(key, fetched.get(key), requester)
 
-    def draw(self, key, given, mine):
-        """Use a part that is here or is given, or compute it."""
+    def use_part(self, key, fetched_part, requester):
+        """Uses a cached or fetched part, or computes it."""
         if key in self.kept:
             self.hits += 1
-        elif given:
+        elif fetched_part:
             self.taken += 1
-        made = self.kept.get(key) or given or mine
-        walled = "b" in (made[0], mine[0]) and made[0] != mine[0]
-        if made[1] != mine[1] or walled:
-            self.wrong.append((key, made, mine))
+        made = self.kept.get(key) or fetched_part or requester
+        isolation_broken = ("b" in (made[0], requester[0]) and
+                            made[0] != requester[0])
+        if made[1] != requester[1] or isolation_broken:
+            self.wrong.append((key, made, requester))
         self.kept[key] = made
 
 
 class LostEngineTest(LossTest):
-    """Engines that hold a prefix die before it is taken from them."""
+    """Engines that cache a prefix die before another engine fetches it."""
 
     SHARED = "a1:2000,b1:2000,"
 
@@ -118,34 +119,35 @@
         self.engines = [self.add("e%d" % i) for i in range(3)]
         self.router = self.fleet.start()
         self.wait_listed(self.router, [e.name for e in self.engines])
-        self.own = 0
+        self.asked = 0
 
     def add(self, name, **more):
         return self.fleet.add(CachingEngine(self.fleet.store, name, **more))
 
     def ask(self, tokens=10, **more):
-        self.own += 1
+        self.asked += 1
         return self.fleet.ask(
             self.router, "/ask/x", X_Token_Usage="%d,10" % (4000 + tokens),
-            X_Prompt_Prefix=self.SHARED + "c%x:%d" % (self.own, tokens),
+            X_Prompt_Prefix=self.SHARED + "c%x:%d" % (self.asked, tokens),
             **more)
 
     def find_home(self):
-        """The engine that has read the shared part."""
+        """Returns the engine that has read the shared prefix."""
         self.assertEqual(self.ask().body, EVENTS)
         return [e for e in self.engines if e.seen][0]
 
-    def hold_up(self, engine):
-        """Its next answer stays without an event, so that others are chosen.
+    def occupy(self, engine):
+        """Keeps the engine busy, so that the router chooses another one.
 
-        The long prompt that it waits for keeps the engine busy for a second
-        and more as far as the router can tell.
+        Its next answer sends no event. The router estimates at least a second
+        for the long prompt of that request.
         """
         engine.gate = threading.Event()
         self.addCleanup(engine.gate.set)
         seen = len(engine.seen)
         held = self.in_thread(lambda: self.ask(60000))
-        wait_for(lambda: len(engine.seen) > seen, "a long prompt is read")
+        wait_for(lambda: len(engine.seen) > seen,
+                 "the long prompt at the engine")
         return held
 
     def fetches_from(self, engine, after=0):
@@ -157,13 +159,13 @@
         self.assertEqual([w for e in self.engines for w in e.wrong], [])
 
     def test_what_an_engine_holds_is_taken_from_it(self):
-        """What the other tests take away does happen without a loss."""
+        """Without a loss the fetch happens that the other tests prevent."""
         home = self.find_home()
-        thread, held = self.hold_up(home)
+        thread, held = self.occupy(home)
         self.assertEqual(self.ask().body, EVENTS)
-        taker = [e for e in self.engines if e is not home and e.seen][0]
-        self.assertEqual(home.given_to, [taker.name])
-        self.assertEqual(taker.taken, 2)
+        fetcher = [e for e in self.engines if e is not home and e.seen][0]
+        self.assertEqual(home.given_to, [fetcher.name])
+        self.assertEqual(fetcher.taken, 2)
         home.gate.set()
         thread.join()
         self.assertEqual(held[0].body, EVENTS)
@@ -171,7 +173,7 @@
 
     def test_an_engine_that_dies_before_the_fetch_is_done_without(self):
         home = self.find_home()
-        thread, held = self.hold_up(home)
+        thread, held = self.occupy(home)
         for engine in self.engines:
             engine.before_fetch = home.kill
         self.assertEqual(self.ask().body, EVENTS)
@@ -185,54 +187,54 @@
         self.assert_nothing_wrong()
 
     def replace(self, home, version):
-        """Another engine starts at the address while the dead one is still
-        on the list, and has read the same prompts for other weights."""
+        """Starts another engine at the address of the dead one, which is still
+        listed; it has cached the same prompts, for weights of `version`."""
         home.kill()
         port = home.chosen_port()
-        heir = CachingEngine.__new__(CachingEngine)
-        heir.list = lambda: None
-        heir.__init__(self.fleet.store, "heir", port=port)
-        heir.version = version
-        heir.kept = {key: ("a", version) for key in home.kept}
-        self.engines.append(self.fleet.add(heir))
-        return heir
+        successor = CachingEngine.__new__(CachingEngine)
+        successor.list = lambda: None
+        successor.__init__(self.fleet.store, "heir", port=port)
+        successor.version = version
+        successor.kept = {key: ("a", version) for key in home.kept}
+        self.engines.append(self.fleet.add(successor))
+        return successor
 
     def test_nothing_is_taken_from_another_engine_at_its_address(self):
-        """Symptom: engines were told to take prefixes from an address at which
-        another engine had already been met.
-        Sequence: an engine that holds a prefix dies and another one starts at
-        its address; a request for the dead one is refused there, as not run,
-        under the other's name; the next request of the prefix goes to a third
-        engine, which is told to take the prefix from that address.
-        Cause: the refusal only counted as leaving, and an engine that leaves
-        may give what it holds.
-        Settled by: X-Kv-Fetch of that address a third of a second after
-        upstream_refused with other_instance=1, the list unchanged.
+        """Engines were told to fetch a prefix from another engine's address.
+
+        The engine that held the prefix had died and another one had started
+        at its address. That one refused a request for the dead engine as not
+        run, under its own name. The router treated the refusal as leaving,
+        and an engine that leaves may still be fetched from. The next request
+        of the prefix went to a third engine with X-Kv-Fetch of that address, a
+        third of a second after upstream_refused with other_instance=1 and
+        with an unchanged list.
         """
         home = self.find_home()
-        heir = self.replace(home, 1)
+        successor = self.replace(home, 1)
         self.assertEqual(self.ask().body, EVENTS)
-        self.assertEqual(heir.seen, [])
+        self.assertEqual(successor.seen, [])
         second = [e for e in self.engines
-                  if e not in (home, heir) and e.seen][0]
-        taken = len(heir.given_to)
-        thread, held = self.hold_up(second)
-        # While the refusal is fresh it is not asked for another reason.
-        pause_over = time.monotonic() + 0.3
-        wait_for(lambda: time.monotonic() > pause_over, "the pause is over")
+                  if e not in (home, successor) and e.seen][0]
+        fetches_before = len(successor.given_to)
+        thread, held = self.occupy(second)
+        # A fresh refusal would also prevent the fetch, so let it expire.
+        backoff_end = time.monotonic() + 0.3
+        wait_for(lambda: time.monotonic() > backoff_end,
+                 "the end of the backoff")
         self.assertEqual(self.ask().body, EVENTS)
-        self.assertEqual(len(heir.given_to), taken)
+        self.assertEqual(len(successor.given_to), fetches_before)
         second.gate.set()
         thread.join()
         self.assertEqual(held[0].body, EVENTS)
 
     def test_an_engine_at_a_dead_ones_address_is_known_by_its_own_name(self):
         home = self.find_home()
-        heir = self.replace(home, 1)
-        heir.kept = {}
+        successor = self.replace(home, 1)
+        successor.kept = {}
         home.unlist()
-        del heir.list
-        heir.list()
+        del successor.list
+        successor.list()
         self.router.wait_event("upstream_gone")
         self.wait_listed(self.router, ["heir"])
         for _ in range(4):
@@ -242,7 +244,7 @@
 
 
 class KeptPartsTest(LossTest):
-    """Engines that keep all they were ever given, whatever for."""
+    """Engines that never evict a part, of any customer or version."""
 
     PARTS = "a1:2000,b1:2000,c1:10"
 
@@ -259,7 +261,7 @@
                                 X_Prompt_Prefix=self.PARTS)
         self.assertEqual(answer.body, EVENTS)
 
-    def drawn(self):
+    def count_reused_parts(self):
         return sum(e.hits + e.taken for e in self.engines)
 
     def assert_nothing_wrong(self):
@@ -268,35 +270,36 @@
     def test_an_isolated_customer_draws_on_nothing_of_others(self):
         self.ask("key-a")
         self.ask("key-a")
-        drawn = self.drawn()
-        self.assertGreater(drawn, 0)
+        parts_reused = self.count_reused_parts()
+        self.assertGreater(parts_reused, 0)
         self.ask("key-b")
-        self.assertEqual(self.drawn(), drawn)
+        self.assertEqual(self.count_reused_parts(), parts_reused)
         self.ask("key-b")
-        self.assertGreater(self.drawn(), drawn)
+        self.assertGreater(self.count_reused_parts(), parts_reused)
         self.ask("key-a")
         self.assert_nothing_wrong()
 
     def test_nothing_of_older_weights_is_drawn_on(self):
         self.ask()
         self.ask()
-        drawn = self.drawn()
-        self.assertGreater(drawn, 0)
+        parts_reused = self.count_reused_parts()
+        self.assertGreater(parts_reused, 0)
         self.fleet.store.put("keyed.op", "version/m",
                              {"model": "m", "version": 2})
-        wait_for(lambda: all(e.version == 2 for e in self.engines), "loaded")
+        wait_for(lambda: all(e.version == 2 for e in self.engines),
+                 "the load")
         self.ask()
-        self.assertEqual(self.drawn(), drawn)
+        self.assertEqual(self.count_reused_parts(), parts_reused)
         self.ask()
-        self.assertGreater(self.drawn(), drawn)
+        self.assertGreater(self.count_reused_parts(), parts_reused)
         self.assert_nothing_wrong()
 
 
 class HerdStore(stand_ins.Store):
-    """A store whose answers to lists may be held back after they were made."""
+    """A store that can delay the answers to list calls after making them."""
 
     def __init__(self):
-        self.hold_lists = None  # event to wait for
+        self.hold_lists = None  # event that releases the answers
         self.held = 0
         super().__init__()
 
@@ -315,36 +318,37 @@
 
 
 class Witness:
-    """Asks one router again and again and keeps what it says."""
+    """Calls one router in a loop and records its statuses."""
 
-    ASKED = {"good": ("/write/x", "key-b"), "revoked": ("/write/x", "key-a"),
+    CALLS = {"good": ("/write/x", "key-b"), "revoked": ("/write/x", "key-a"),
              "unknown": ("/none/x", "key-b")}
 
     def __init__(self, fleet, router):
         self.fleet = fleet
         self.router = router
-        self.rounds = []  # status by question, and whether it was ready before
-        self.over = False
+        self.rounds = []  # statuses by call, and readiness before them
+        self.stopped = False
         self.thread = threading.Thread(target=self.work)
         self.thread.start()
 
     def work(self):
-        while not self.over:
-            said = {"ready": self.fleet.is_ready(self.router)}
-            for name, (path, key) in self.ASKED.items():
-                said[name] = self.fleet.ask(self.router, path, key=key).status
-            self.rounds.append(said)
+        while not self.stopped:
+            statuses = {"ready": self.fleet.is_ready(self.router)}
+            for name, (path, key) in self.CALLS.items():
+                statuses[name] = self.fleet.ask(self.router, path,
+                                                key=key).status
+            self.rounds.append(statuses)
 
     def wait_rounds(self, count):
         wanted = len(self.rounds) + count
-        wait_for(lambda: len(self.rounds) >= wanted, "asked again")
+        wait_for(lambda: len(self.rounds) >= wanted, "more rounds of calls")
 
     def stop(self):
-        self.over = True
+        self.stopped = True
         self.thread.join()
 
-    def said(self, name):
-        return [said[name] for said in self.rounds]
+    def statuses(self, name):
+        return [statuses[name] for statuses in self.rounds]
 
 
 class HerdTest(LossTest):
@@ -363,7 +367,7 @@
             wait_for(lambda: self.fleet.is_ready(router), "ready")
 
     def start_herd(self, **settings):
-        """They find each other by those of them that started first."""
+        """Starts the routers; each has the earlier ones as seeds."""
         self.herd = []
         for i in range(self.ROUTERS):
             seeds = ",".join(r.peer_address for r in self.herd)
@@ -392,21 +396,22 @@
 
     def finish(self, witnesses):
         for witness in witnesses:
-            wait_for(lambda: 200 in witness.said("good"), "serving")
+            wait_for(lambda: 200 in witness.statuses("good"),
+                     "an answer with status 200")
             witness.wait_rounds(2)
             witness.stop()
 
     def assert_truthful(self, witness):
-        """It refuses until it knows, then serves, and never denies what is
-        allowed or allows what is denied."""
-        good = witness.said("good")
+        """The router refuses until it has a configuration, then serves; it
+        never denies an allowed call or allows a denied one."""
+        good = witness.statuses("good")
         self.assertLessEqual(set(good), {200, 503})
         self.assertEqual(good, sorted(good, reverse=True))
-        self.assertLessEqual(set(witness.said("revoked")), {401, 503})
-        self.assertLessEqual(set(witness.said("unknown")), {404, 503})
-        for said in witness.rounds:
-            if said["ready"]:
-                self.assertEqual(said["good"], 200, witness.rounds)
+        self.assertLessEqual(set(witness.statuses("revoked")), {401, 503})
+        self.assertLessEqual(set(witness.statuses("unknown")), {404, 503})
+        for statuses in witness.rounds:
+            if statuses["ready"]:
+                self.assertEqual(statuses["good"], 200, witness.rounds)
 
     def test_routers_refuse_until_they_know_a_configuration(self):
         self.kill_herd()
@@ -417,9 +422,9 @@
         for witness in witnesses:
             witness.wait_rounds(3)
         for witness in witnesses:
-            for name in Witness.ASKED:
-                self.assertEqual(set(witness.said(name)), {503}, name)
-            self.assertNotIn(True, witness.said("ready"))
+            for name in Witness.CALLS:
+                self.assertEqual(set(witness.statuses(name)), {503}, name)
+            self.assertNotIn(True, witness.statuses("ready"))
         self.fleet.store.down = False
         self.finish(witnesses)
         for witness in witnesses:
@@ -434,19 +439,20 @@
         for witness in witnesses:
             self.assert_truthful(witness)
 
-    def test_an_answer_that_was_overtaken_brings_nothing_back(self):
-        """The lists that a herd begins with are made before a key is revoked
-        and come after it, later than what they say counts as fresh."""
+    def test_a_delayed_list_does_not_restore_a_revoked_key(self):
+        """The store makes the routers' first lists before a key is revoked and
+        sends them later than config_max_age allows."""
         self.kill_herd()
         self.fleet.store.hold_lists = threading.Event()
         self.addCleanup(self.fleet.store.hold_lists.set)
         self.start_herd(config_max_age="500ms")
         witnesses = self.watch_herd()
         wait_for(lambda: self.fleet.store.held >= 2 * self.ROUTERS,
-                 "all lists are made")
+                 "all lists at the store")
         made_at = time.monotonic()
         self.fleet.config(5, customers=[CUSTOMERS[1]])
-        wait_for(lambda: time.monotonic() > made_at + 0.5, "they are old")
+        wait_for(lambda: time.monotonic() > made_at + 0.5,
+                 "lists past their maximum age")
         self.fleet.store.hold_lists.set()
         self.finish(witnesses)
         for witness in witnesses:
@@ -469,7 +475,7 @@
 
 
 class Steps:
-    """Lets through so many pieces of an engine's streams, then no more."""
+    """Lets the given number of events pass, then blocks until open()."""
 
     def __init__(self, pieces):
         self.left = threading.Semaphore(pieces)
@@ -482,7 +488,7 @@
 
 
 class LostRouterTest(LossTest):
-    """A router is killed while a request that may run only once is open."""
+    """A router is killed during a request that may run only once."""
 
     def setUp(self):
         super().setUp()
@@ -497,7 +503,7 @@
             self.wait_listed(router, [u.name for u in self.upstreams])
 
     def hold_calls(self):
-        """Calls of plain services run and are answered only later."""
+        """Makes plain services block in a call until the event is set."""
         opened = threading.Event()
         self.addCleanup(opened.set)
         for plain in self.plains:
@@ -514,7 +520,7 @@
                    for u in self.upstreams for s in u.seen)
 
     def open_call(self, path, name):
-        """Its status, or None where the connection was cut before one."""
+        """Starts a call; its result is the status, or None if it was cut."""
         def call():
             try:
                 return self.fleet.ask(self.first, path,
@@ -522,7 +528,7 @@
             except CUT:
                 return None
         thread, results = self.in_thread(call)
-        wait_for(lambda: self.runs(name) > 0, "the call runs")
+        wait_for(lambda: self.runs(name) > 0, "the call at the upstream")
         return thread, results
 
     def start_first_again(self):
@@ -547,14 +553,14 @@
         self.assertEqual(self.runs("once"), 1)
 
     def test_a_call_that_was_refused_once_runs_once(self):
-        """It has gone to a second upstream when its router dies."""
+        """The router dies after it sent the call to a second upstream."""
         for plain in self.plains:
             plain.shed = True
         opened = self.hold_calls()
         refusals = []
 
         def serve_next(plain):
-            """The first one to be asked refuses, the others run it."""
+            """The first service with the call refuses, the next runs it."""
             serve = plain.serve
 
             def wrapped(call, body):
@@ -580,7 +586,7 @@
             raw.sendall(b"POST /write/x HTTP/1.1\r\nHost: shop.example\r\n"
                         b"X-Request-Id: left\r\nApi-Key: key-a\r\n"
                         b"Content-Length: 0\r\n\r\n")
-            wait_for(lambda: self.runs("left"), "the call runs")
+            wait_for(lambda: self.runs("left"), "the call at the upstream")
         self.first.signal(signal.SIGKILL)
         opened.set()
         self.assert_others_serve(self.second, self.start_first_again())
@@ -603,7 +609,7 @@
         self.assertEqual(self.runs("once"), 1)
 
     def test_a_caller_that_was_promised_it_did_not_run_may_ask_again(self):
-        """The promise of a router that dies a moment later holds."""
+        """The refusal holds although the router dies right after it."""
         for plain in self.plains:
             plain.shed = True
         answer = self.fleet.ask(self.first, "/write/x", X_Request_Id="once")
@@ -617,15 +623,15 @@
 
 
 class QueueingEngine(stand_ins.Upstream):
-    """Lets requests wait in a queue; drops those whose connection closes."""
+    """Queues requests and drops those whose connection closes."""
 
     def __init__(self, store, name):
         self.holding = True
-        self.obeys = True     # carries out orders
-        self.drops = True     # notices that a connection was closed
-        self.waiting = []     # ids of requests that have come into the queue
-        self.dropped = []     # those of which nobody waits for the answer
-        self.begun = []       # id, version of the weights and time of a start
+        self.obeys = True     # else it answers orders with 409
+        self.drops = True     # drops a request whose connection closes
+        self.waiting = []     # ids of all requests that were queued
+        self.dropped = []     # ids of dropped requests
+        self.begun = []       # (id, version of the weights, start time)
         super().__init__(store, name, "engines", "m")
 
     def order(self, call, order):
@@ -645,15 +651,15 @@
         super().run(call, body, request)
 
     def has_left(self, call):
-        """Waits for a moment whether the router closes the connection."""
+        """Returns whether the router closes the connection within 10 ms."""
         ready, _, _ = select.select([call.connection], [], [], 0.01)
         return bool(ready) and call.connection.recv(1, socket.MSG_PEEK) == b""
 
 
 class OverdueTest(LossTest):
-    """Newer weights are named while a request waits in an engine's queue."""
+    """Newer weights are declared while a request is in an engine's queue."""
 
-    LIMIT_S = 3  # the least that the setting may be
+    LIMIT_S = 3  # minimum of weights_limit
 
     def setUp(self):
         super().setUp()
@@ -661,30 +667,30 @@
                         for name in ("e0", "e1")]
         self.router = self.fleet.start()
         self.wait_listed(self.router, ["e0", "e1"])
-        self.set_limit()
+        self.set_weights_limit()
 
-    def set_limit(self):
+    def set_weights_limit(self):
         with open(self.router.path) as file:
             text = file.read()
         limit = "[relay]\nweights_limit = %ds\n" % self.LIMIT_S
         with open(self.router.path, "w") as file:
             file.write(text.replace("[relay]\n", limit))
         self.router.signal(signal.SIGHUP)
-        taken = self.router.wait_event("settings_reloaded")[0]
-        self.assertEqual(taken["outcome"], "taken")
+        reloaded = self.router.wait_event("settings_reloaded")[0]
+        self.assertEqual(reloaded["outcome"], "taken")
 
-    def name_weights(self):
-        self.named_at = time.monotonic()
+    def declare_weights(self):
+        self.declared_at = time.monotonic()
         self.fleet.store.put("keyed.op", "version/m",
                              {"model": "m", "version": 2})
         self.router.wait_event("weights_named")
 
     def ask(self, path="/ask/x"):
-        """A request that waits in a queue, of the engine @first."""
+        """Sends a request and waits until an engine, self.first, queues it."""
         thread, answers = self.in_thread(
             lambda: self.fleet.ask(self.router, path))
         self.first = wait_for(lambda: [e for e in self.engines if e.waiting],
-                              "it waits in a queue")[0]
+                              "the request in a queue")[0]
         self.other = [e for e in self.engines if e is not self.first][0]
         return thread, answers
 
@@ -692,76 +698,76 @@
         for engine in self.engines:
             for request, version, at in engine.begun:
                 if version == 1:
-                    self.assertLess(at - self.named_at, self.LIMIT_S, request)
+                    self.assertLess(at - self.declared_at, self.LIMIT_S,
+                                    request)
 
     def assert_served_on_newer(self, thread, answers):
         thread.join()
         self.assertEqual((answers[0].status, answers[0].body), (200, EVENTS))
         self.assertEqual(answers[0].headers["X-Weight-Versions"], "2")
-        wait_for(lambda: self.first.dropped, "it left the queue")
+        wait_for(lambda: self.first.dropped, "the drop of the request")
         self.assertEqual(self.first.begun, [])
         self.assertEqual([b[1] for b in self.other.begun], [2])
         self.assertEqual(self.other.seen[-1]["X-Expect-Version"], "2")
         self.assert_not_begun_late()
-        self.assert_engine_not_doubted()
-
-    def assert_engine_not_doubted(self):
-        """Symptom: routers probed and ejected engines that were well.
-        Sequence: a request is taken back from an engine's queue as the
-        engine's weights are overdue.
-        Cause: the end of such an attempt was told as silence, for which an
-        upstream is doubted and ejected.
-        Settled by: attempt_failed with reason=silent and upstream_doubted in
-        the same millisecond, of engines that answered others.
+        self.assert_engine_not_suspected()
+
+    def assert_engine_not_suspected(self):
+        """Routers probed and ejected healthy engines.
+
+        A request was taken back from an engine's queue because the engine's
+        weights were overdue. The end of the attempt was reported as silence,
+        for which an upstream is suspected and ejected: attempt_failed with
+        reason=silent and upstream_doubted in the same millisecond, for
+        engines that answered other requests.
         """
         failed = self.router.events("attempt_failed")
         self.assertEqual([f["reason"] for f in failed], ["taken_back"])
         self.assertEqual(self.router.events("upstream_doubted"), [])
 
     def test_a_request_that_waited_before_the_name_is_taken_back(self):
-        """Symptom: requests waited in an engine's queue until their deadline
-        after its weights had become overdue, while another engine had the
-        newer ones.
-        Sequence: a request is sent; newer weights are named while it waits;
-        they become overdue; nothing happens until first_token_timeout.
-        Cause: when it is looked at for overdue weights was reckoned as it was
-        sent, from the names known then.
-        Settled by: a request sent after the name is taken back in time, the
-        same one sent before it ends with deadline_passed.
+        """Requests waited until their deadline at an engine with overdue
+        weights, while another engine had the newer ones.
+
+        Newer weights were declared after the request was sent. The time of
+        the check for overdue weights was computed when the request was sent,
+        from the declarations known then, so nothing happened until
+        first_token_timeout and the request ended with deadline_passed. A
+        request sent after the declaration was taken back in time.
         """
         thread, answers = self.ask()
         self.first.obeys = False
         self.other.holding = False
-        self.name_weights()
+        self.declare_weights()
         self.assert_served_on_newer(thread, answers)
 
     def test_a_request_that_came_after_the_name_is_taken_back(self):
         for engine in self.engines:
             engine.obeys = False
-        self.name_weights()
+        self.declare_weights()
         thread, answers = self.ask()
         self.other.holding = False
         self.other.obeys = True
         self.assert_served_on_newer(thread, answers)
 
     def test_a_request_that_no_newer_engine_takes_is_refused_truthfully(self):
-        """Its engine does not notice that it was taken back: nobody can say
-        that it will not run."""
+        """The engine does not detect that the request was taken back, so the
+        router cannot guarantee that it will not run."""
         for engine in self.engines:
             engine.obeys = False
             engine.drops = False
-        self.name_weights()
+        self.declare_weights()
         thread, answers = self.ask()
         thread.join()
         self.assertEqual(answers[0].status // 100, 5)
         self.assertNotIn(answers[0].status, NOT_RUN)
-        self.assertLess(time.monotonic() - self.named_at, self.LIMIT_S)
+        self.assertLess(time.monotonic() - self.declared_at, self.LIMIT_S)
         self.assertEqual(sum(len(e.waiting) for e in self.engines), 1)
 
     def test_a_request_that_must_not_run_again_is_refused_truthfully(self):
         for engine in self.engines:
             engine.obeys = False
-        self.name_weights()
+        self.declare_weights()
         thread, answers = self.ask("/ask/once/x")
         self.other.holding = False
         self.other.obeys = True
@@ -769,15 +775,15 @@
         self.assertEqual(answers[0].status // 100, 5)
         self.assertNotIn(answers[0].status, NOT_RUN)
         self.assertEqual(self.other.waiting, [])
-        wait_for(lambda: self.first.dropped, "it left the queue")
+        wait_for(lambda: self.first.dropped, "the drop of the request")
 
     def test_a_request_that_never_waited_on_overdue_weights_is_not_run(self):
-        """No engine has the newer weights in time, so nothing is sent."""
+        """No engine has the newer weights in time, so no request is sent."""
         for engine in self.engines:
             engine.obeys = False
-        self.name_weights()
-        wait_for(lambda: time.monotonic() - self.named_at > self.LIMIT_S,
-                 "the older weights are overdue")
+        self.declare_weights()
+        wait_for(lambda: time.monotonic() - self.declared_at > self.LIMIT_S,
+                 "overdue older weights")
         answer = self.fleet.ask(self.router, "/ask/x")
         self.assertEqual(answer.status, 503)
         self.assertIn("Retry-After", answer.headers)
@@ -785,7 +791,7 @@
 
 
 class PausedRouterTest(LossTest):
-    """A router that is cut off from the store stands still."""
+    """A router that is cut off from the store is stopped by SIGSTOP."""
 
     ROUTERS = 5
     MAX_AGE_S = 1.5
@@ -794,15 +800,15 @@
         super().setUp()
         self.fleet.plain("p1")
         self.fleet.config()
-        self.path = FaultProxy(int(
+        self.proxy = FaultProxy(int(
             self.fleet.store.address.rpartition(":")[2]))
-        self.addCleanup(self.path.kill)
+        self.addCleanup(self.proxy.kill)
         self.herd = []
         for i in range(self.ROUTERS):
             last = i == self.ROUTERS - 1
             self.herd.append(self.fleet.router(
                 "r%d" % i, config_max_age="%dms" % (1000 * self.MAX_AGE_S),
-                store_address=self.path.address if last else None,
+                store_address=self.proxy.address if last else None,
                 peers={"seeds": ",".join(r.peer_address
                                          for r in self.herd)}))
         for router in self.herd:
@@ -812,37 +818,40 @@
     def status(self, router, key="key-a"):
         return self.fleet.ask(router, "/write/x", key=key).status
 
-    def test_news_that_waited_while_it_stood_still_are_not_fresh(self):
-        """Symptom: a key that was revoked seconds ago was let in.
-        Sequence: a router that hears from peers alone how fresh its
-        configuration is stands still; a key is revoked; the router goes on
-        and reads what its peers sent before that.
-        Cause: the age that a message tells counts from when it is read.
-        Settled by: the statuses that follow at once.
+    def test_messages_read_after_a_stall_do_not_count_as_fresh(self):
+        """A key that had been revoked seconds ago was accepted.
+
+        A router that learns only from peers how fresh its configuration is
+        stalls, and the key is revoked meanwhile. When the router resumes, it
+        reads messages that peers sent before the revocation. It counted the
+        age in such a message from the time of reading. The statuses of the
+        first calls after the resumption show the failure.
         """
-        self.path.refuse = True
-        self.path.black_hole = True
-        self.path.cut_all()
+        self.proxy.refuse = True
+        self.proxy.black_hole = True
+        self.proxy.cut_all()
         cut_at = time.monotonic()
         wait_for(lambda: time.monotonic() > cut_at + 2 * self.MAX_AGE_S,
-                 "what it has read itself is old")
+                 "an expired last read from the store")
         self.assertEqual(self.status(self.cut_off), 200)
         self.cut_off.signal(signal.SIGSTOP)
         stopped_at = time.monotonic()
-        wait_for(lambda: time.monotonic() > stopped_at + 0.5, "peers tell")
+        wait_for(lambda: time.monotonic() > stopped_at + 0.5,
+                 "messages of the peers")
         self.fleet.config(5, customers=[CUSTOMERS[1]])
         for router in self.herd[:-1]:
-            wait_for(lambda: self.status(router) == 401, "revoked")
+            wait_for(lambda: self.status(router) == 401,
+                     "the refusal of the revoked key")
         revoked_at = time.monotonic()
         wait_for(lambda: time.monotonic() > revoked_at + 2 * self.MAX_AGE_S,
-                 "what was known before is old")
+                 "expiry of all received before the stop")
         self.cut_off.signal(signal.SIGCONT)
-        said = [self.status(self.cut_off) for _ in range(20)]
-        # Refused as stale until peers have told it the newer configuration,
-        # and by that one from then on; never let in.
-        self.assertEqual(said, sorted(said, reverse=True), said)
-        self.assertLessEqual(set(said), {503, 401}, said)
-        if 401 in said:
+        statuses = [self.status(self.cut_off) for _ in range(20)]
+        # The router answers 503 (stale) until peers have sent it the newer
+        # configuration, then 401 because of it. It never accepts the call.
+        self.assertEqual(statuses, sorted(statuses, reverse=True), statuses)
+        self.assertLessEqual(set(statuses), {503, 401}, statuses)
+        if 401 in statuses:
             self.assertIn("5", [e["version"] for e in
                                 self.cut_off.events("config_in_force")])
 
