--- a/tests/sessions/test_fleet.py
+++ b/tests/sessions/test_fleet.py
@@ -72,7 +72,7 @@
                          (500, "seal-p1"))
         self.assertEqual(len(plain.seen), 1)
 
-    def test_a_success_without_a_seal_is_a_failure(self):
+    def test_a_success_without_a_signature_is_a_failure(self):
         self.fleet.plain("p1").sealed = False
         router = self.fleet.start()
         self.assertEqual(self.fleet.ask(router, "/write/x").status, 502)
