--- a/tests/sessions/test_last_turn.py
+++ b/tests/sessions/test_last_turn.py
@@ -1,4 +1,4 @@
-"""Requests that come as a router ends."""
+"""Requests and streams that reach a router while it exits."""
 import signal
 import socket
 import time
@@ -14,30 +14,29 @@
 
 
 class LastTurnTest(test_fleet.FleetTest):
-    """Symptom: a router that was told to stop reads memory that it has freed,
-    and may crash, where requests come as it ends.
-    Sequence: its grace is over and nothing is open; its parts are freed; the
-    loop turns once more, so that calls that were closed free themselves; in
-    that turn a request is read.
-    Cause: the listeners and their connections were freed only after that turn.
-    Settled by: the sanitizer names RouteTable_config, called for a request, on
-    what RelayParts_destroy has freed.
+    """A router that exits on SIGTERM read freed memory for a late request.
+
+    After the grace period, with no request open, the router freed its modules
+    and ran one more loop iteration in which closed calls free themselves. The
+    listeners and their connections were freed only after this iteration, so
+    it could read a request. The sanitizer reported RouteTable_config, called
+    for the request, on memory that RelayParts_destroy had freed.
     """
 
     def test_requests_that_come_as_it_ends_meet_no_freed_parts(self):
         self.fleet.plain("p1")
         router = self.fleet.start()
-        raws = [socket.create_connection(("127.0.0.1", router.port))
+        connections = [socket.create_connection(("127.0.0.1", router.port))
                 for i in range(CONNECTIONS)]
-        for raw in raws:
-            self.addCleanup(raw.close)
-        time.sleep(0.2)  # all are accepted
+        for connection in connections:
+            self.addCleanup(connection.close)
+        time.sleep(0.2)  # the router accepts all connections
         router.signal(signal.SIGTERM)
         time.sleep(0.1)
         router.signal(signal.SIGSTOP)
-        time.sleep(1)  # its grace ends meanwhile
-        for raw in raws:
-            raw.sendall(REQUEST)
+        time.sleep(1)  # the grace period ends while the router is stopped
+        for connection in connections:
+            connection.sendall(REQUEST)
         router.signal(signal.SIGCONT)
         router.process.wait(10)
         self.assertEqual(router.process.returncode, 0)
@@ -45,7 +44,7 @@
 
 
 class StopLimitTest(test_fleet.StreamTest):
-    """A stream is still open as its router's stop_limit is over."""
+    """A stream is still open when the stop_limit of its router expires."""
 
     def test_an_open_stream_meets_no_freed_parts(self):
         settings = fleet.SETTINGS
