--- a/tests/sessions/test_native_leaving.py
+++ b/tests/sessions/test_native_leaving.py
@@ -1,4 +1,4 @@
-"""Engines and plain services that say that they leave, on the project's own
+"""Engines and plain services that announce that they leave, on the native
 interface."""
 import unittest
 
