--- a/tests/sessions/test_suspension.py
+++ b/tests/sessions/test_suspension.py
@@ -1,9 +1,10 @@
 """A router whose machine is suspended for some seconds.
 
-No process runs meanwhile and timers stand still, but the world goes on: a key
-is revoked, callers give up. A router that does not count that time lets in
-what it knew before, and holds requests for as much longer than their callers
-wait. Only its clocks are moved here, which is what it sees.
+During a suspension no process runs and timers stall, while keys are revoked
+and callers reach their deadlines. A router that does not count this time
+accepts revoked keys from its outdated configuration, and holds requests past
+their deadlines by the length of the suspension. The tests only move the
+router's clocks, since a suspension is visible to a router in these alone.
 """
 import threading
 import time
@@ -36,9 +37,9 @@
         self.fleet.store.down = True
         self.fleet.config(customers=CUSTOMERS[1:])
         self.clock.suspend(SUSPENDED_S)
-        seen = len(self.plain.seen)
+        seen_before = len(self.plain.seen)
         self.assertEqual(self.fleet.ask(router, "/write/x").status, 503)
-        self.assertEqual(len(self.plain.seen), seen)
+        self.assertEqual(len(self.plain.seen), seen_before)
 
     def test_a_caller_gets_its_answer_soon_after_its_deadline(self):
         router = self.start()
@@ -46,13 +47,13 @@
         answers = []
         thread = threading.Thread(target=lambda: answers.append(
             self.fleet.ask(router, "/read/x", wait_ms=DEADLINE_MS)))
-        began = time.monotonic()
+        start_time = time.monotonic()
         thread.start()
         wait_for(lambda: self.plain.seen, "it runs")
         self.clock.suspend(SUSPENDED_S)
         thread.join()
         self.assertEqual(answers[0].status, 504)
-        self.assertLess(time.monotonic() - began, DEADLINE_MS / 1000 / 2)
+        self.assertLess(time.monotonic() - start_time, DEADLINE_MS / 1000 / 2)
 
 
 if __name__ == "__main__":
