--- a/tests/sessions/test_listing.py
+++ b/tests/sessions/test_listing.py
@@ -1,4 +1,4 @@
-"""The list of upstreams: those that start again, and entries of others."""
+"""The list of upstreams: restarts, and entries that other programs write."""
 import unittest
 
 from cluster import wait_for
@@ -17,11 +17,13 @@
 
 class StartAgainTest(ListingTest):
     def test_an_engine_that_has_started_again_gets_orders(self):
-        """Symptom: an engine stayed on old weights after it had started again
-        under its name. Sequence: it takes an order, starts again with its
-        count of orders at nothing, and newer weights are named. Cause: what it
-        said was measured by the count of before. Settled by: its entry and its
-        state tell when it was started."""
+        """An engine kept its old weights after a restart under its name.
+
+        It accepts an order, restarts with its order count at 0, and newer
+        weights are declared. Its replies were compared with the order count
+        from before the restart. The start time in the entry and in the state
+        of an engine distinguishes the two starts.
+        """
         engine = self.fleet.engine("e1")
         self.fleet.start()
         for version in (2, 3, 4):
@@ -47,11 +49,11 @@
         router = self.fleet.start()
         for _ in range(3):
             self.assertEqual(self.fleet.ask(router, "/write/x").status, 200)
-        before = set(plain.callers)
+        callers_before = set(plain.callers)
         plain.start_again()
         router.wait_event("upstream_reborn")
         self.assertEqual(self.fleet.ask(router, "/write/x").status, 200)
-        self.assertTrue(plain.callers - before)
+        self.assertTrue(plain.callers - callers_before)
 
     def test_one_that_was_leaving_serves_again(self):
         plain = self.fleet.plain("p1")
