--- a/tests/sessions/test_leaving.py
+++ b/tests/sessions/test_leaving.py
@@ -1,11 +1,12 @@
-"""Upstreams that say in their answers that they leave.
+"""Upstreams that announce in their answers that they leave.
 
-An engine said so in the head of a stream while the store was away, and got
-requests for 12.8 s more from the router that had passed that answer on:
+An engine announced this in the head of a stream while the store was
+unavailable. The router that had relayed the answer sent it requests for
+another 12.8 s:
 
-     7.5 s  the engine begins to leave; the store takes its entry at 20.3 s
-     7.8 s  a stream of it ends whole; its head says so
-    20.6 s  a new stream goes there
+     7.5 s  the engine begins to leave; the store accepts its entry at 20.3 s
+     7.8 s  a stream, whose head contains the announcement, ends complete
+    20.6 s  the router sends a new stream to the engine
 """
 import signal
 import threading
@@ -16,14 +17,16 @@
 from fleet import Upstream
 from pressing import PressingTest
 
+# Time in which the announcement spreads and earlier requests arrive.
 GRACE_S = 0.5
 
 
 class LeavingTest(PressingTest):
-    def tell(self, upstream, routers, path="/ask/x"):
-        """Until each of the routers has passed on an answer that says so."""
+    def announce_leaving(self, upstream, routers, path="/ask/x"):
+        """Sends requests until each router has relayed an answer in which
+        `upstream` announces that it leaves."""
         upstream.leaving = True
-        came = len(upstream.arrivals)
+        arrivals_before = len(upstream.arrivals)
         others = [part for part in self.fleet.parts
                   if isinstance(part, Upstream) and part is not upstream
                   and part.service == upstream.service and not part.shed]
@@ -31,12 +34,12 @@
             other.shed = True
         for router in routers:
             wait_for(lambda r=router: self.ask(r, path) and
-                     self.knows(r, upstream), "told")
+                     self.has_noted(r, upstream), "told")
         for other in others:
             other.shed = False
-        self.assertGreater(len(upstream.arrivals), came)
+        self.assertGreater(len(upstream.arrivals), arrivals_before)
 
-    def knows(self, router, upstream):
+    def has_noted(self, router, upstream):
         return any(line["upstream"] == upstream.name
                    for line in router.events("upstream_leaving"))
 
@@ -54,7 +57,7 @@
         self.fleet.engine("e2")
         routers = self.start()
         self.fleet.store.down = True
-        self.tell(first, routers)
+        self.announce_leaving(first, routers)
         answers = self.check_no_new_work(first, routers)
         self.assertEqual({a.status for a in answers}, {200})
 
@@ -63,7 +66,7 @@
         second = self.fleet.plain("p2")
         routers = self.start()
         second.pause_s = 0.1
-        self.tell(first, routers, "/write/x")
+        self.announce_leaving(first, routers, "/write/x")
         answers = self.check_no_new_work(first, routers, "/write/x")
         self.assertEqual({a.status for a in answers}, {200})
 
@@ -72,7 +75,7 @@
         self.fleet.engine("e2")
         routers = self.start()
         first.shed = True
-        self.tell(first, routers)
+        self.announce_leaving(first, routers)
         answers = self.check_no_new_work(first, routers)
         self.assertEqual({a.status for a in answers}, {200})
 
@@ -81,7 +84,7 @@
         self.fleet.plain("p2")
         routers = self.start()
         first.status = 500
-        self.tell(first, routers, "/read/x")
+        self.announce_leaving(first, routers, "/read/x")
         answers = self.check_no_new_work(first, routers, "/read/x")
         self.assertEqual({a.status for a in answers}, {200})
 
@@ -90,10 +93,10 @@
         self.fleet.plain("p2")
         routers = self.start()
         first.sealed = False
-        self.tell(first, routers, "/read/x")
+        self.announce_leaving(first, routers, "/read/x")
         self.check_no_new_work(first, routers, "/read/x")
 
-    def test_it_counts_from_the_head_and_the_stream_ends_whole(self):
+    def test_leaving_counts_from_the_head_and_the_stream_ends_whole(self):
         first = self.fleet.engine("e1")
         second = self.fleet.engine("e2")
         router = self.start()[0]
@@ -105,11 +108,11 @@
         first.leaving = second.leaving = True
         thread.start()
         wait_for(lambda: first.seen or second.seen, "under way")
-        told, other = (first, second) if first.seen else (second, first)
+        leaver, other = (first, second) if first.seen else (second, first)
         other.leaving = False
         other.gate.set()
-        self.check_no_new_work(told, [router], seconds=0.7)
-        told.gate.set()
+        self.check_no_new_work(leaver, [router], seconds=0.7)
+        leaver.gate.set()
         thread.join()
         self.assertEqual(answers[0].status, 200)
         self.assertIn(b"piece-4", answers[0].body)
@@ -128,7 +131,7 @@
         self.fleet.engine("e2")
         routers = self.start(3)
         self.fleet.store.down = True
-        self.tell(first, routers[:1])
+        self.announce_leaving(first, routers[:1])
         answers = self.check_no_new_work(first, routers)
         self.assertEqual({a.status for a in answers}, {200})
 
@@ -136,7 +139,7 @@
         first = self.fleet.engine("e1")
         self.fleet.engine("e2")
         routers = self.start(2)
-        self.tell(first, routers[:1])
+        self.announce_leaving(first, routers[:1])
         late = self.join(routers)
         wait_for(lambda: self.fleet.is_ready(late), "ready")
         since = time.monotonic()
@@ -148,7 +151,7 @@
         self.fleet.engine("e2")
         routers = self.start(2)
         routers[1].signal(signal.SIGSTOP)
-        self.tell(first, routers[:1])
+        self.announce_leaving(first, routers[:1])
         time.sleep(1)
         routers[1].signal(signal.SIGCONT)
         self.check_no_new_work(first, routers)
@@ -158,7 +161,7 @@
         routers = self.start(3)
         self.fleet.store.down = True
         for engine in engines[:3]:
-            self.tell(engine, routers[:1])
+            self.announce_leaving(engine, routers[:1])
         time.sleep(GRACE_S)
         since = time.monotonic()
         answers = self.press(routers, 1.5)
@@ -166,22 +169,22 @@
         for engine in engines[:3]:
             self.assertEqual([t for t in engine.arrivals if t > since], [])
 
-    def test_it_holds_as_the_router_dies_that_was_told(self):
+    def test_the_update_outlasts_the_router_that_received_it(self):
         first = self.fleet.engine("e1")
         self.fleet.engine("e2")
         routers = self.start(3)
-        self.tell(first, routers[:1])
+        self.announce_leaving(first, routers[:1])
         time.sleep(GRACE_S)
         routers[0].kill()
         self.check_no_new_work(first, routers[1:])
 
 
 class EndTest(LeavingTest):
-    def test_an_entry_that_reads_ready_does_not_end_it(self):
+    def test_an_entry_that_reads_ready_does_not_end_leaving(self):
         first = self.fleet.engine("e1")
         self.fleet.engine("e2")
         routers = self.start()
-        self.tell(first, routers)
+        self.announce_leaving(first, routers)
         first.unlist()
         routers[0].wait_event("upstream_gone")
         first.list()
@@ -192,14 +195,14 @@
         first = self.fleet.engine("e1")
         self.fleet.engine("e2")
         routers = self.start(2)
-        self.tell(first, routers)
+        self.announce_leaving(first, routers)
         first.start_again()
         for router in routers:
             router.wait_event("upstream_reborn")
         since = time.monotonic()
         self.press(routers, 1)
-        came = [t for t in first.arrivals if t > since]
-        self.assertGreater(len(came), 5)
+        arrivals = [t for t in first.arrivals if t > since]
+        self.assertGreater(len(arrivals), 5)
 
 
 class AllLeaveTest(LeavingTest):
@@ -207,7 +210,7 @@
         services = [self.fleet.plain("p1"), self.fleet.plain("p2")]
         routers = self.start(2)
         for service in services:
-            self.tell(service, routers[:1], "/write/x")
+            self.announce_leaving(service, routers[:1], "/write/x")
         time.sleep(GRACE_S)
         since = time.monotonic()
         answers = self.press(routers, 1, "/write/x")
