--- a/tests/sessions/test_rest.py
+++ b/tests/sessions/test_rest.py
@@ -1,10 +1,10 @@
-"""Upstreams that refuse and ask for rest.
+"""Upstreams that refuse requests and ask for a backoff.
 
-Three of nine engines refused all work for nine seconds and asked with each
-refusal for 3 s of rest. They got more requests than before:
+Three of nine engines refused all requests for nine seconds and asked for a
+backoff of 3 s with each refusal, but got more requests than before:
 
     6.02 s  an engine refuses a request of a router and asks for 3 s
-    6.68, 7.18, 8.04, 8.61 s  it refuses further ones of that router
+    6.68, 7.18, 8.04, 8.61 s  it refuses further requests of the same router
 """
 import threading
 import time
@@ -14,32 +14,34 @@
 from fleet import SuspendableClock
 from pressing import PressingTest
 
-ON_ITS_WAY_S = 0.5
-REST_S = 3
+IN_FLIGHT_S = 0.5
+BACKOFF_S = 3
 
 
 class RestTest(PressingTest):
-    def ask_for_rest(self, upstream, routers, rest=str(REST_S), path="/ask/x"):
-        """Until it has asked each of the routers."""
-        upstream.rest = rest
+    def request_backoff(self, upstream, routers, backoff=str(BACKOFF_S),
+                        path="/ask/x"):
+        """Sends requests until `upstream` has asked each router to back off."""
+        upstream.rest = backoff
         for router in routers:
-            before = len(self.rests(router, upstream))
-            wait_for(lambda r=router, n=before: self.press([r], 0.2, path) and
-                     len(self.rests(r, upstream)) > n, "asked for rest")
+            events_before = len(self.backoff_events(router, upstream))
+            wait_for(lambda r=router, n=events_before:
+                     self.press([r], 0.2, path) and
+                     len(self.backoff_events(r, upstream)) > n, "asked for rest")
 
-    def rests(self, router, upstream):
+    def backoff_events(self, router, upstream):
         return [line for line in router.events("upstream_rests")
                 if line["upstream"] == upstream.name]
 
-    def came(self, upstream, since, until=None):
+    def arrivals_between(self, upstream, since, until=None):
         return [t for t in upstream.arrivals
                 if since < t and (until is None or t < until)]
 
-    def check_rests(self, upstream, routers, path="/ask/x", seconds=1.5):
-        time.sleep(ON_ITS_WAY_S)
+    def check_no_arrivals(self, upstream, routers, path="/ask/x", seconds=1.5):
+        time.sleep(IN_FLIGHT_S)
         since = time.monotonic()
         answers = self.press(routers, seconds, path)
-        self.assertEqual(self.came(upstream, since), [])
+        self.assertEqual(self.arrivals_between(upstream, since), [])
         return answers
 
 
@@ -48,8 +50,8 @@
         first = self.fleet.engine("e1")
         self.fleet.engine("e2")
         routers = self.start()
-        self.ask_for_rest(first, routers)
-        answers = self.check_rests(first, routers)
+        self.request_backoff(first, routers)
+        answers = self.check_no_arrivals(first, routers)
         self.assertEqual({a.status for a in answers}, {200})
 
     def test_a_service_that_asked_for_rest_gets_no_call(self):
@@ -57,11 +59,11 @@
         second = self.fleet.plain("p2")
         second.pause_s = 0.05
         routers = self.start()
-        self.ask_for_rest(first, routers, path="/write/x")
-        answers = self.check_rests(first, routers, "/write/x")
+        self.request_backoff(first, routers, path="/write/x")
+        answers = self.check_no_arrivals(first, routers, "/write/x")
         self.assertEqual({a.status for a in answers}, {200})
 
-    def test_a_stream_that_ends_whole_does_not_end_it(self):
+    def test_a_stream_that_ends_whole_does_not_end_the_backoff(self):
         first = self.fleet.engine("e1")
         second = self.fleet.engine("e2")
         router = self.start()[0]
@@ -72,64 +74,66 @@
             stream.start()
         wait_for(lambda: first.seen, "under way")
         second.gate = None
-        self.ask_for_rest(first, [router], "4")
+        self.request_backoff(first, [router], "4")
         first.gate.set()
         for stream in streams:
             stream.join()
-        self.check_rests(first, [router])
+        self.check_no_arrivals(first, [router])
 
     def test_other_routers_go_on(self):
         first = self.fleet.engine("e1")
         self.fleet.engine("e2")
         routers = self.start(2)
-        self.ask_for_rest(first, routers[:1])
+        self.request_backoff(first, routers[:1])
         first.rest = None
         since = time.monotonic()
         self.press(routers[1:], 1.5)
-        self.assertGreater(len(self.came(first, since)), 5)
+        self.assertGreater(len(self.arrivals_between(first, since)), 5)
 
 
 class EndTest(RestTest):
-    def test_few_come_at_first_and_then_all(self):
+    def test_few_requests_come_at_first_and_then_all(self):
         first = self.fleet.engine("e1")
         self.fleet.engine("e2")
         routers = self.start()
-        self.ask_for_rest(first, routers, "1.5")
-        asked = first.arrivals[-1]
+        self.request_backoff(first, routers, "1.5")
+        asked_at = first.arrivals[-1]
         first.rest = None
-        self.press(routers, asked + 4 - time.monotonic())
-        self.assertEqual(self.came(first, asked + 0.05, asked + 1.5), [])
-        early = self.came(first, asked + 1.5, asked + 2)
+        self.press(routers, asked_at + 4 - time.monotonic())
+        self.assertEqual(
+            self.arrivals_between(first, asked_at + 0.05, asked_at + 1.5), [])
+        early = self.arrivals_between(first, asked_at + 1.5, asked_at + 2)
         self.assertGreaterEqual(len(early), 1)
         self.assertLessEqual(len(early), 4)
         self.assertGreaterEqual(
-            len(self.came(first, asked + 2.5, asked + 3.5)), 5)
+            len(self.arrivals_between(first, asked_at + 2.5, asked_at + 3.5)),
+            5)
 
     def test_the_time_counts_for_which_the_machine_is_suspended(self):
         first = self.fleet.engine("e1")
         self.fleet.engine("e2")
         clock = SuspendableClock(self.fleet.folder.name)
         routers = self.start(environment=clock.environment)
-        self.ask_for_rest(first, routers, "20")
+        self.request_backoff(first, routers, "20")
         first.rest = None
         clock.suspend(21)
         wait_for(lambda: self.fleet.is_ready(routers[0]), "ready again")
         since = time.monotonic()
         self.press(routers, 2)
-        self.assertGreater(len(self.came(first, since)), 5)
+        self.assertGreater(len(self.arrivals_between(first, since)), 5)
 
-    def test_a_new_start_ends_it(self):
+    def test_a_new_start_ends_the_backoff(self):
         first = self.fleet.engine("e1")
         self.fleet.engine("e2")
         routers = self.start()
-        self.ask_for_rest(first, routers, "60")
+        self.request_backoff(first, routers, "60")
         first.start_again()
         routers[0].wait_event("upstream_reborn")
         since = time.monotonic()
         self.press(routers, 1)
-        self.assertGreater(len(self.came(first, since)), 5)
+        self.assertGreater(len(self.arrivals_between(first, since)), 5)
 
-    def test_values_that_are_none_hold_nothing_up(self):
+    def test_invalid_backoff_values_are_ignored(self):
         first = self.fleet.engine("e1")
         self.fleet.engine("e2")
         routers = self.start()
@@ -140,8 +144,8 @@
         first.rest = None
         since = time.monotonic()
         self.press(routers, 1)
-        self.assertGreater(len(self.came(first, since)), 3)
-        self.assertEqual(self.rests(routers[0], first), [])
+        self.assertGreater(len(self.arrivals_between(first, since)), 3)
+        self.assertEqual(self.backoff_events(routers[0], first), [])
         routers[0].wait_event("upstream_notice_unreadable")
 
 
@@ -149,14 +153,14 @@
     def test_all_rest_and_requests_are_refused_at_once(self):
         engines = [self.fleet.engine("e1"), self.fleet.engine("e2")]
         routers = self.start()
-        self.ask_for_rest(engines[0], routers, "30")
-        self.ask_for_rest(engines[1], routers, "4")
-        time.sleep(ON_ITS_WAY_S)
+        self.request_backoff(engines[0], routers, "30")
+        self.request_backoff(engines[1], routers, "4")
+        time.sleep(IN_FLIGHT_S)
         since = time.monotonic()
         answers = self.press(routers, 1)
         self.assertLess(time.monotonic() - since, 1.5)
         for engine in engines:
-            self.assertEqual(self.came(engine, since), [])
+            self.assertEqual(self.arrivals_between(engine, since), [])
         self.assertEqual({a.status for a in answers}, {503})
         self.assertIn(b'"code":"upstreams_resting"', answers[0].body)
         self.assertIn(b'"run":"not_run"', answers[0].body)
