--- a/tests/sessions/test_rest.py
+++ b/tests/sessions/test_rest.py
@@ -21,13 +21,14 @@
 class RestTest(PressingTest):
     def request_backoff(self, upstream, routers, backoff=str(BACKOFF_S),
                         path="/ask/x"):
-        """Sends requests until `upstream` has asked each router to back off."""
+        """Sends requests until `upstream` asks each router to back off."""
         upstream.rest = backoff
         for router in routers:
             events_before = len(self.backoff_events(router, upstream))
             wait_for(lambda r=router, n=events_before:
                      self.press([r], 0.2, path) and
-                     len(self.backoff_events(r, upstream)) > n, "asked for rest")
+                     len(self.backoff_events(r, upstream)) > n,
+                     "asked for rest")
 
     def backoff_events(self, router, upstream):
         return [line for line in router.events("upstream_rests")
