--- a/tests/sessions/test_crashes.py
+++ b/tests/sessions/test_crashes.py
@@ -1,15 +1,16 @@
-"""Requests under which engines end: they are known again, whoever sends them.
-
-A request made each engine that began to run it end, and came again and again
-under new ids, at any router. Each try was decided by itself: the routers that
-had just lost an engine under it sent it to the next one, until all nine engines
-were gone, and again when they were back.
-
-Settled by the log lines of eight routers: 36 engines ended under one request
-within 30 s, 20 of them after the third, each a tenth to three tenths of a
-second after the one before, and waves began when engines were listed again;
-each try had a request id and `attempts` of its own, at most 2 of 2, and
-`upstream_silent` "not connected" stood 12 to 20 ms behind each end.
+"""Poison requests: routers recognize them by content, whoever sends them.
+
+A request crashed each engine that started to run it, and was sent again and
+again under new ids, to any router. The routers decided on each attempt without
+regard to the earlier ones: a router that had just lost an engine under the
+request sent it to the next engine, until all nine engines had crashed, and
+again when they had restarted.
+
+The logs of eight routers show it: 36 engine crashes under one request within
+30 s, 20 of them after the third, each 0.1 to 0.3 s after the previous one. A
+new wave began whenever engines were listed again. Each attempt had its own
+request id and `attempts` of at most 2 of 2, and `upstream_silent` "not
+connected" followed each crash within 12 to 20 ms.
 """
 import json
 import os
@@ -21,9 +22,9 @@
 from cluster import BUILD, OPERATOR_KEY, wait_for
 from fleet import Fleet
 
-# Engines that may end under one request before it is known.
-CRASHES_MOST = 3
-DEADLY = b"crash, whoever runs this"
+# Engines that a request may crash before it is quarantined.
+CRASHES_MAX = 3
+POISON = b"crash, whoever runs this"
 EVENTS = b"".join(b"id: %d\ndata: piece-%d\n\n" % (i, i) for i in range(5))
 
 
@@ -41,7 +42,7 @@
         for _ in range(self.ROUTERS):
             self.add_router()
         for router in self.routers:
-            self.wait_known(router)
+            self.wait_converged(router)
 
     def add_router(self, **settings):
         seeds = ",".join(r.peer_address for r in self.routers)
@@ -51,58 +52,60 @@
         self.routers.append(router)
         return router
 
-    def wait_known(self, router):
-        """It serves, and knows the engines and the other routers."""
+    def wait_converged(self, router):
+        """Waits until `router` is ready and knows all engines and routers."""
         wait_for(lambda: self.fleet.is_ready(router), "ready")
         wait_for(lambda: len(router.events("upstream_listed"))
                  >= self.ENGINES, "engines are listed")
         wait_for(lambda: len(router.events("member_joined"))
                  >= len(self.routers) - 1, "routers are known")
 
-    def ended(self):
+    def crashed_engines(self):
         return [e.name for e in self.engines if e.dead]
 
-    def send(self, router, body=DEADLY, path="/ask/x", **more):
+    def send(self, router, body=POISON, path="/ask/x", **more):
         return self.fleet.ask(router, path, body, **more)
 
     def send_in_turn(self, count, **more):
-        """One after the other, each at the next router, as callers whose
-        tries fail do; the routers have time to hear from each other."""
+        """Sends `count` requests one by one, each to the next router, as
+        callers do that retry. The pause after each lets the routers receive
+        each other's crash records."""
         answers = []
         for number in range(count):
             answers.append(self.send(
                 self.routers[number % len(self.routers)], **more))
-            self.wait_counted()
+            self.wait_crashes_recorded()
             time.sleep(0.4)
         return answers
 
-    def operate(self, router, *words):
+    def operate(self, router, *arguments):
         return subprocess.run(
-            [os.path.join(BUILD, "wheattiller"), *words, "--output", "json",
+            [os.path.join(BUILD, "wheattiller"), *arguments,
+             "--output", "json",
              "--router", "127.0.0.1:%d" % router.operator_port],
             env=dict(os.environ, WHEATTILLER_KEY=OPERATOR_KEY),
             capture_output=True, text=True)
 
-    def wait_counted(self):
-        """Each engine that ended was seen to by a router; what it tells then
-        is on its way."""
+    def wait_crashes_recorded(self):
+        """Waits until the routers have recorded the crash of each crashed
+        engine. The broadcast to the other routers may still be under way."""
         wait_for(lambda: {e["upstream"] for router in self.fleet.routers
                           for e in router.events("crash_counted")}
-                 >= set(self.ended()), "ends are counted")
+                 >= set(self.crashed_engines()), "ends are counted")
 
 
 class BoundTest(CrashTest):
     def test_a_request_that_ends_engines_is_sent_to_no_more_than_three(self):
         answers = self.send_in_turn(9)
-        self.assertEqual(len(self.ended()), CRASHES_MOST)
-        for answer in answers[CRASHES_MOST:]:
+        self.assertEqual(len(self.crashed_engines()), CRASHES_MAX)
+        for answer in answers[CRASHES_MAX:]:
             self.assertEqual(answer.status, 503)
             self.assertIn(b'"code":"crashes_upstreams"', answer.body)
             self.assertIn(b'"run":"not_run"', answer.body)
 
-    def test_the_same_holds_for_one_that_is_tried_once_only(self):
+    def test_the_same_holds_for_a_request_with_one_attempt(self):
         self.send_in_turn(9, path="/ask/once/x")
-        self.assertEqual(len(self.ended()), CRASHES_MOST)
+        self.assertEqual(len(self.crashed_engines()), CRASHES_MAX)
 
     def test_all_at_once_end_no_more_than_they_reach(self):
         threads = [threading.Thread(target=self.send, args=(router,),
@@ -114,7 +117,7 @@
             thread.join()
         time.sleep(0.5)
         self.send_in_turn(6, path="/ask/once/x")
-        self.assertLessEqual(len(self.ended()), CRASHES_MOST)
+        self.assertLessEqual(len(self.crashed_engines()), CRASHES_MAX)
 
     def test_others_are_served(self):
         self.send_in_turn(9)
@@ -123,39 +126,40 @@
 
 
 class OthersTest(CrashTest):
-    """What is not the same request, or did not end an engine."""
+    """Other requests, and requests that did not crash an engine."""
 
     def test_another_customers_request_is_not_refused_for_it(self):
-        self.send_in_turn(CRASHES_MOST + 1)
-        self.assertEqual(len(self.ended()), CRASHES_MOST)
+        self.send_in_turn(CRASHES_MAX + 1)
+        self.assertEqual(len(self.crashed_engines()), CRASHES_MAX)
         self.assertNotEqual(self.send(self.routers[0], key="key-b").status, 503)
-        self.assertGreater(len(self.ended()), CRASHES_MOST)
+        self.assertGreater(len(self.crashed_engines()), CRASHES_MAX)
 
     def set_survival(self, survives):
         for engine in self.engines:
             engine.survives = survives
 
-    def test_one_that_comes_through_begins_anew(self):
+    def test_a_success_resets_the_crash_count(self):
         self.send_in_turn(2, path="/ask/once/x")
         self.set_survival(True)
         answer = self.send(self.routers[0], path="/ask/once/x")
         self.assertEqual(answer.body, EVENTS)
         self.set_survival(False)
         self.send_in_turn(2, path="/ask/once/x")
-        self.assertEqual(len(self.ended()), 2 + 2)
-        # Not only excused as it would be held: the first two are taken back.
+        self.assertEqual(len(self.crashed_engines()), 2 + 2)
+        # Success removes the first two crashes from the count; it is not just
+        # an exemption from quarantine.
         counts = [int(e["crashes"]) for router in self.routers
                   for e in router.events("crash_counted")]
         self.assertEqual(max(counts), 2)
 
-    def test_one_that_had_come_through_is_excused_once(self):
+    def test_a_request_that_had_succeeded_is_exempt_once(self):
         self.set_survival(True)
         for router in self.routers:
             answer = self.send(router, path="/ask/once/x")
             self.assertEqual(answer.body, EVENTS)
         self.set_survival(False)
         self.send_in_turn(self.ENGINES, path="/ask/once/x")
-        self.assertEqual(len(self.ended()), 2 * CRASHES_MOST)
+        self.assertEqual(len(self.crashed_engines()), 2 * CRASHES_MAX)
 
     def test_connections_that_break_hold_nothing_back(self):
         plains = [self.fleet.plain("p%d" % n) for n in range(4)]
@@ -168,8 +172,8 @@
         for _ in range(2):
             for router in self.routers:
                 self.send(router, b"x", "/read/x")
-        # Longer than it takes to see to what broke off, before it comes
-        # through, which would take it back.
+        # Routers have time to investigate the broken connections before a
+        # success, which would remove any crash that they recorded.
         time.sleep(0.5)
         for plain in plains:
             plain.cut_calls = False
@@ -179,11 +183,11 @@
             self.assertEqual(router.events("crash_counted"), [])
 
     def test_engines_that_end_by_plan_count_for_nothing(self):
-        slow = self.engines[:CRASHES_MOST]
+        slow = self.engines[:CRASHES_MAX]
         for engine in self.engines:
             engine.queue = threading.Event()
             self.addCleanup(engine.queue.set)
-        for _ in range(CRASHES_MOST):
+        for _ in range(CRASHES_MAX):
             thread = threading.Thread(
                 target=self.send, args=(self.routers[0], b"as usual"),
                 kwargs={"path": "/ask/once/x"})
@@ -200,7 +204,7 @@
                 "it leaves")
             busy[0].kill()
             thread.join()
-        self.assertEqual(len(self.ended()), len(slow))
+        self.assertEqual(len(self.crashed_engines()), len(slow))
         for engine in self.engines:
             engine.queue.set()
         answer = self.send(self.routers[0], b"as usual", path="/ask/once/x")
@@ -209,14 +213,15 @@
 
 class QueueTest(CrashTest):
     def test_what_waits_at_an_engine_is_taken_from_there(self):
-        """Where it stayed, an engine that is spared would end as well."""
+        """A poison request left in a queue would crash a fourth engine."""
         for engine in self.engines:
             engine.queue = threading.Event()
             self.addCleanup(engine.queue.set)
         answers = []
         threads = []
-        for number in range(CRASHES_MOST + 1):
-            # So long a prompt that its engine is not the next one's choice.
+        for number in range(CRASHES_MAX + 1):
+            # The prompt is so long that the next request goes to another
+            # engine.
             threads.append(threading.Thread(target=lambda: answers.append(
                 self.send(self.routers[0], path="/ask/once/x",
                           X_Token_Usage="60000,10",
@@ -225,7 +230,7 @@
             wait_for(lambda: sum(e.waiting for e in self.engines) > number,
                      "it waits")
         holders = [e for e in self.engines if e.waiting]
-        self.assertEqual(len(holders), CRASHES_MOST + 1)
+        self.assertEqual(len(holders), CRASHES_MAX + 1)
         for engine in holders[:-1]:
             engine.queue.set()
         for thread in threads:
@@ -237,7 +242,7 @@
 
 
 class LastingTest(CrashTest):
-    """Routers that start anew, and routers that do not hear each other."""
+    """Restarted routers, and routers that are not connected to each other."""
 
     def restart(self, routers):
         for router in routers:
@@ -245,27 +250,27 @@
             self.routers.remove(router)
         return [self.add_router() for _ in routers]
 
-    def hold(self):
-        self.send_in_turn(CRASHES_MOST + 1)
-        self.assertEqual(len(self.ended()), CRASHES_MOST)
+    def quarantine(self):
+        self.send_in_turn(CRASHES_MAX + 1)
+        self.assertEqual(len(self.crashed_engines()), CRASHES_MAX)
 
-    def assert_held_by(self, routers):
+    def assert_quarantined_by(self, routers):
         for router in routers:
             self.assertEqual(self.send(router).status, 503)
-        self.assertEqual(len(self.ended()), CRASHES_MOST)
+        self.assertEqual(len(self.crashed_engines()), CRASHES_MAX)
 
     def test_a_router_that_starts_anew_is_told_by_the_others(self):
-        self.hold()
+        self.quarantine()
         self.fleet.store.put("keyed.crashes", "none", None)
         records = self.fleet.store.topics.pop("keyed.crashes")
         self.assertGreater(len(records), 1)
         started, = self.restart(self.routers[:1])
         started.wait_event("request_held")
         self.assertEqual(started.events("request_held")[0]["reason"], "peer")
-        self.assert_held_by([started])
+        self.assert_quarantined_by([started])
 
     def test_routers_that_all_start_anew_read_it_from_the_store(self):
-        self.hold()
+        self.quarantine()
         for router in self.routers:
             router.kill()
         started = []
@@ -274,41 +279,41 @@
             started.append(self.add_router())
         for router in started:
             router.wait_event("request_held")
-        self.assert_held_by(started)
+        self.assert_quarantined_by(started)
 
-    def test_a_store_that_is_away_gets_it_later(self):
+    def test_a_store_that_is_away_gets_the_record_later(self):
         self.fleet.store.down = True
-        self.hold()
+        self.quarantine()
         self.fleet.store.down = False
         wait_for(lambda: self.fleet.store.records("keyed.crashes"), "kept")
 
-    def kept(self):
-        """Records that say of a request that it is held back."""
+    def quarantine_records(self):
+        """Returns the stored records that quarantine a request."""
         return [record for record in
                 self.fleet.store.records("keyed.crashes")
                 if len(record) > 1 + record[0]]
 
     def test_a_store_that_comes_back_older_gets_it_again_once(self):
-        """The record of a request that is held back was written and then lost
-        by the store: after a restart of all routers it ended three engines
-        more."""
+        """The store lost the stored record of a quarantined request, which
+        crashed three more engines after all routers had restarted."""
         copy = self.fleet.store.copy()
-        self.hold()
-        wait_for(self.kept, "kept")
+        self.quarantine()
+        wait_for(self.quarantine_records, "kept")
         self.fleet.store.come_back_older(copy)
-        wait_for(self.kept, "kept again", 5)
+        wait_for(self.quarantine_records, "kept again", 5)
         time.sleep(1)
-        self.assertEqual(len(self.kept()), 1)
+        self.assertEqual(len(self.quarantine_records()), 1)
         self.restart(list(self.routers))
         for router in self.routers:
             router.wait_event("request_held")
-        self.assert_held_by(self.routers)
-
-    def test_one_that_was_let_go_is_not_held_by_an_older_record(self):
-        """An operator had let it go; the older record held it again at a
-        router that started then, once no other was left to say so."""
-        self.hold()
-        wait_for(self.kept, "kept")
+        self.assert_quarantined_by(self.routers)
+
+    def test_a_released_request_is_not_held_by_an_older_record(self):
+        """An operator had released the request. A router that started later
+        quarantined it again from the older record, once no other router was
+        left to send the release."""
+        self.quarantine()
+        wait_for(self.quarantine_records, "kept")
         time.sleep(0.5)
         copy = self.fleet.store.copy()
         digest = self.routers[0].events("request_held")[0]["digest"]
@@ -328,12 +333,12 @@
         self.fleet.store.down = False
         wait_for(lambda: self.fleet.is_ready(alone), "ready")
         self.fleet.store.down = True
-        for _ in range(2 * CRASHES_MOST):
+        for _ in range(2 * CRASHES_MAX):
             self.send(alone)
             time.sleep(0.4)
-        self.assertEqual(len(self.ended()), CRASHES_MOST)
-        self.send_in_turn(2 * CRASHES_MOST)
-        self.assertEqual(len(self.ended()), 2 * CRASHES_MOST)
+        self.assertEqual(len(self.crashed_engines()), CRASHES_MAX)
+        self.send_in_turn(2 * CRASHES_MAX)
+        self.assertEqual(len(self.crashed_engines()), 2 * CRASHES_MAX)
 
 
 class RebornTest(CrashTest):
@@ -341,30 +346,30 @@
 
     def test_an_engine_that_starts_again_under_its_name_ends_three_times(self):
         engine, = self.engines
-        ends = 0
-        for number in range(3 * CRASHES_MOST):
+        crash_count = 0
+        for number in range(3 * CRASHES_MAX):
             self.send(self.routers[number % len(self.routers)])
             if engine.dead:
-                ends += 1
+                crash_count += 1
                 engine.revive()
                 for router in self.routers:
                     wait_for(lambda r=router: len(r.events("upstream_reborn"))
-                             >= ends, "known as another one")
+                             >= crash_count, "known as another one")
             time.sleep(0.4)
-        self.assertEqual(ends, CRASHES_MOST)
+        self.assertEqual(crash_count, CRASHES_MAX)
         for router in self.routers:
             self.assertEqual(self.send(router, b"as usual").body, EVENTS)
 
 
 class OperatorTest(CrashTest):
-    """Operators see what is held back, and let it go."""
+    """Operators list quarantined requests and release them."""
 
     def test_what_is_held_is_shown_and_let_go_everywhere(self):
-        self.send_in_turn(CRASHES_MOST + 1)
+        self.send_in_turn(CRASHES_MAX + 1)
         shown = self.operate(self.routers[0], "crashes")
         self.assertEqual(shown.returncode, 0, shown.stderr)
         request, = json.loads(shown.stdout)["requests"]
-        self.assertEqual(request["crashes"], CRASHES_MOST)
+        self.assertEqual(request["crashes"], CRASHES_MAX)
         self.assertTrue(request["held"])
         line = self.routers[0].wait_event("request_held")[0]
         self.assertEqual(request["digest"], line["digest"])
