--- a/tests/sessions/test_malformed.py
+++ b/tests/sessions/test_malformed.py
@@ -1,4 +1,4 @@
-"""10,000 malformed or truncated requests from a seeded generator."""
+"""Sends 10,000 malformed or truncated requests from a seeded generator."""
 import json
 import random
 import socket
@@ -28,8 +28,8 @@
 
 
 def truncated(rng):
-    whole = http(json.dumps(GOOD))
-    return whole[:rng.randint(1, len(whole) - 1)]
+    request = http(json.dumps(GOOD))
+    return request[:rng.randint(1, len(request) - 1)]
 
 
 def broken_json(rng):
@@ -125,7 +125,7 @@
 
 
 def send(port, data):
-    """All that comes back until the connection ends."""
+    """Returns all bytes received until the router closes the connection."""
     received = b""
     with socket.create_connection(("127.0.0.1", port),
                                   timeout=HANG_LIMIT) as connection:
@@ -140,13 +140,14 @@
         except socket.timeout:
             raise
         except OSError:
-            pass  # closed by the router while we sent
+            pass  # the router closed the connection before all was sent
     return received
 
 
-def is_good(received):
-    """Nothing, or one answer with a typed error; what the HTTP library
-    itself refuses has its own page and an ended connection."""
+def is_proper_rejection(received):
+    """Returns whether the router rejected the request in a proper way: with a
+    closed connection, a 4xx answer with a typed error, or the HTML error page
+    of the HTTP library for requests that the library itself rejects."""
     if not received:
         return True
     head, _, body = received.partition(b"\r\n\r\n")
@@ -164,20 +165,20 @@
         self.addCleanup(self.cluster.close)
         self.bad = []
 
-    def run_part(self, port, part):
+    def send_part(self, port, part):
         rng = random.Random(SEED + part)
         for number in range(REQUESTS // THREADS):
             kind = KINDS[number % len(KINDS)]
             data = kind(rng)
             received = send(port, data)
-            if not is_good(received):
+            if not is_proper_rejection(received):
                 self.bad.append((kind.__name__, data[:300], received[:300]))
 
     def test_each_gets_a_typed_4xx_or_a_closed_connection(self):
         engine = self.cluster.engine("e1")
         router = self.cluster.start(max_body="64KiB", read_timeout="2s",
                                     resume_grace="0s")
-        threads = [threading.Thread(target=self.run_part,
+        threads = [threading.Thread(target=self.send_part,
                                     args=(router.port, part))
                    for part in range(THREADS)]
         for thread in threads:
